--- a/bench/bench_flow.c
+++ b/bench/bench_flow.c
@@ -119,7 +119,7 @@
 	made.flow.caller_port = 1024 + flow % 60000;
 	made.flow.entry_ip = 0xc6120000u + flow % services;
 	made.flow.entry_port = 443;
-	made.marks = marks;
+	made.flags = marks;
 	return made;
 }
 
@@ -133,7 +133,8 @@
 
 	for (i = 0; i < count; i++) {
 		made = packet(first + i % FLOWS, services, marks);
-		dy_flow_router_take(router, &made, bytes, sizeof(bytes), 1000);
+		dy_flow_router_receive_packet(router, &made, bytes,
+					      sizeof(bytes), 1000);
 	}
 	return (now_us() - from) / count;
 }
@@ -148,7 +149,7 @@
 	for (i = 0; i < flows; i++) {
 		held.flow = packet(i, services, 0).flow;
 		held.agent = agent(i % services);
-		dy_flow_router_held(router, &held, 1000);
+		dy_flow_router_receive_held(router, &held, 1000);
 	}
 }
 
--- a/include/damaskyard/cold_limit.h
+++ b/include/damaskyard/cold_limit.h
@@ -22,15 +22,15 @@
  * The window, in ms. Longer than the second that is promised, since openings
  * reach the target later than they are counted, some more than others.
  */
-#define DY_COLD_SPAN_MS 1050
+#define DY_COLD_WINDOW_MS 1050
 
 /* Openings that are counted in one window at most; more are not let in. */
-#define DY_COLD_OPENINGS_MOST 4096
+#define DY_COLD_OPENINGS_MAX 4096
 
 typedef struct dy_cold_limit {
-	GArray *times; /* of the last openings, a ring */
-	unsigned next; /* the oldest's place once the ring is full */
-	unsigned most; /* openings in a window; 0: any */
+	GArray *times;		 /* of the last openings, a ring */
+	unsigned next;		 /* the oldest's place once the ring is full */
+	unsigned max_per_window; /* openings in a window; 0: any */
 } dy_cold_limit_t;
 
 void dy_cold_limit_init(dy_cold_limit_t *limit);
@@ -38,7 +38,7 @@
 
 /*
  * Allow so many openings in any window from now on, all counted that were
- * noted; 0: any number. DY_COLD_OPENINGS_MOST at most.
+ * noted; 0: any number. DY_COLD_OPENINGS_MAX at most.
  */
 void dy_cold_limit_set(dy_cold_limit_t *limit, unsigned most);
 
@@ -46,6 +46,6 @@
 int dy_cold_limit_allows(const dy_cold_limit_t *limit, uint64_t now_ms);
 
 /* Count an opening; the clock must not go back. */
-void dy_cold_limit_note(dy_cold_limit_t *limit, uint64_t now_ms);
+void dy_cold_limit_record(dy_cold_limit_t *limit, uint64_t now_ms);
 
 #endif
--- a/include/damaskyard/flow_holder.h
+++ b/include/damaskyard/flow_holder.h
@@ -41,14 +41,14 @@
  * A target that sent no notice for so long is taken for gone, in ms: it takes
  * no new flow. Notices come each 1.2 s; three may be lost on a bad link.
  */
-#define DY_TARGET_SILENT_MS 4000
+#define DY_NOTICE_TIMEOUT_MS 4000
 
 /*
  * A target that owed an answer to a packet for so long is checked, in ms. It
  * answers openings within one, and half of the requests within 60; a slow one
  * is checked in vain, which costs it one connection.
  */
-#define DY_TARGET_OWING_MS 150
+#define DY_TARGET_RESPONSE_TIMEOUT_MS 150
 
 /* A flow without packets for so long is forgotten, in ms; see above. */
 #define DY_HELD_IDLE_MS 60000
@@ -57,13 +57,13 @@
 #define DY_HALF_OPEN_MS 5000
 
 /* A flow that has ended is remembered for copies of its last packets, in ms. */
-#define DY_ENDED_MS 5000
+#define DY_TIME_WAIT_MS 5000
 
 /*
  * Forwards whose packets the target may still give back. It does so in well
  * under a second; at 1,000 packets a second these are two.
  */
-#define DY_FORWARDS_KEPT 2048
+#define DY_PENDING_FORWARDS_MAX 2048
 
 /*
  * Requests, begun or about to be, for each hundred slots, beyond which an
@@ -79,24 +79,24 @@
  * request more, whose packets travel while the others run. Room above it is
  * left to those who come.
  */
-#define DY_WAITED_AHEAD 1
+#define DY_QUEUED_EXTRA_REQUESTS 1
 
 /*
  * A request without an answer for so long counts no more, in ms: its caller
  * has most likely given up, or the target has.
  */
-#define DY_REQUEST_FORGOTTEN_MS 4000
+#define DY_REQUEST_TIMEOUT_MS 4000
 
 /*
  * A flow that was opened so long ago, in ms, and had no request, is not about
  * to have its first: callers send it a round trip later, some 10 ms, or have
  * given the opening up.
  */
-#define DY_FIRST_REQUEST_MS 100
+#define DY_FIRST_REQUEST_TIMEOUT_MS 100
 
 /* Balancers that are told of the load; ones not heard for 2 s are not. */
-#define DY_REPORTED_MAX 256
-#define DY_REPORTED_MS 2000
+#define DY_REPORT_BALANCERS_MAX 256
+#define DY_REPORT_TTL_MS 2000
 
 typedef struct dy_flow_holder dy_flow_holder_t;
 
@@ -117,8 +117,8 @@
 		       dy_flow_report_t *report);
 	/* The target's service, slots or state changed. */
 	void (*changed)(void *context);
-	/* Check the target's port; see dy_flow_holder_checked(). */
-	void (*check)(void *context);
+	/* Check the target's port; see dy_flow_holder_port_checked(). */
+	void (*check_port)(void *context);
 } dy_flow_holder_callbacks_t;
 
 typedef struct dy_flow_holder_config {
@@ -142,18 +142,19 @@
  * beside this agent, also if it comes late or again; 0 if it names another
  * service or address, and is to be refused.
  */
-int dy_flow_holder_notice(dy_flow_holder_t *holder,
-			  const dy_target_notice_t *notice, uint64_t now_ms);
+int dy_flow_holder_receive_notice(dy_flow_holder_t *holder,
+				  const dy_target_notice_t *notice,
+				  uint64_t now_ms);
 
 /* The target with that id has ended. */
-void dy_flow_holder_leave(dy_flow_holder_t *holder, const char *id);
+void dy_flow_holder_target_left(dy_flow_holder_t *holder, const char *id);
 
 /*
  * Take the result of a check of the target's port that was begun after this
  * agent's start.
  */
-void dy_flow_holder_checked(dy_flow_holder_t *holder, dy_port_state_t state,
-			    uint64_t now_ms);
+void dy_flow_holder_port_checked(dy_flow_holder_t *holder,
+				 dy_port_state_t state, uint64_t now_ms);
 
 /* Take no opening packet any more: the agent itself is stopping. */
 void dy_flow_holder_stop(dy_flow_holder_t *holder);
@@ -166,17 +167,18 @@
 				  uint64_t now_ms);
 
 /* Take a forward; packet is its packet, decoded. */
-void dy_flow_holder_take(dy_flow_holder_t *holder, dy_flow_forward_t *forward,
-			 const dy_packet_t *packet, uint64_t now_ms);
+void dy_flow_holder_receive_forward(dy_flow_holder_t *holder,
+				    dy_flow_forward_t *forward,
+				    const dy_packet_t *packet, uint64_t now_ms);
 
-/* Take a balancer's wish to be told of the load, for DY_REPORTED_MS. */
-void dy_flow_holder_asked(dy_flow_holder_t *holder, const dy_address_t *address,
-			  uint64_t now_ms);
+/* Take a balancer's wish to be told of the load, for DY_REPORT_TTL_MS. */
+void dy_flow_holder_subscribe(dy_flow_holder_t *holder,
+			      const dy_address_t *address, uint64_t now_ms);
 
 /* Take a packet that the target sent, or gave back. */
-void dy_flow_holder_from_target(dy_flow_holder_t *holder,
-				const dy_packet_t *packet, uint8_t *bytes,
-				size_t len, uint64_t now_ms);
+void dy_flow_holder_receive_packet(dy_flow_holder_t *holder,
+				   const dy_packet_t *packet, uint8_t *bytes,
+				   size_t len, uint64_t now_ms);
 
 /* Report the load and forget what is over. Call it each 200 ms. */
 void dy_flow_holder_tick(dy_flow_holder_t *holder, uint64_t now_ms);
@@ -187,21 +189,22 @@
 int dy_flow_holder_accepts(const dy_flow_holder_t *holder);
 uint32_t dy_flow_holder_slots(const dy_flow_holder_t *holder);
 /* Whether no target is there: it left, fell silent, or was never heard. */
-int dy_flow_holder_is_over(const dy_flow_holder_t *holder, uint64_t now_ms);
+int dy_flow_holder_is_target_inactive(const dy_flow_holder_t *holder,
+				      uint64_t now_ms);
 /* Whether it is certain that no target is there, so no flow either. */
-int dy_flow_holder_is_empty(const dy_flow_holder_t *holder);
+int dy_flow_holder_is_target_gone(const dy_flow_holder_t *holder);
 /*
  * Whether a start of the target, by its id and time, is over: another one has
  * taken its place, or nobody is there.
  */
-typedef enum dy_target_past {
-	DY_TARGET_NOT_KNOWN, /* no target was heard of yet */
-	DY_TARGET_CURRENT,
-	DY_TARGET_OVER
-} dy_target_past_t;
+typedef enum dy_target_instance_state {
+	DY_TARGET_INSTANCE_UNKNOWN, /* no target was heard of yet */
+	DY_TARGET_INSTANCE_CURRENT,
+	DY_TARGET_INSTANCE_ENDED
+} dy_target_instance_state_t;
 
-dy_target_past_t dy_flow_holder_tell_past(const dy_flow_holder_t *holder,
-					  const char *id, uint64_t born_ms);
+dy_target_instance_state_t dy_flow_holder_instance_state(
+	const dy_flow_holder_t *holder, const char *id, uint64_t born_ms);
 
 /* What the target said last, or NULL if none is known to be there. */
 const dy_target_notice_t *dy_flow_holder_target(const dy_flow_holder_t *holder);
@@ -213,19 +216,20 @@
  * caller's last; what is listed is at most 16 s old then, and a download's
  * would be off.
  */
-#define DY_STEADY_MS 1000
-#define DY_STEADY_BYTES 12000
-#define DY_STEADY_BYTES_A_SECOND 4000
+#define DY_LOW_RATE_MIN_AGE_MS 1000
+#define DY_LOW_RATE_BURST_BYTES 12000
+#define DY_LOW_RATE_BYTES_PER_S 4000
 
 /* Call each() for every steady flow; ack is its caller's last. */
 typedef void dy_flow_holder_cb_t(void *context, const dy_flow_id_t *flow,
 				 uint32_t ack);
-void dy_flow_holder_each_steady(const dy_flow_holder_t *holder, uint64_t now_ms,
-				dy_flow_holder_cb_t *each, void *context);
+void dy_flow_holder_each_low_rate(const dy_flow_holder_t *holder,
+				  uint64_t now_ms, dy_flow_holder_cb_t *each,
+				  void *context);
 
 /* Whether there is a record of the flow. */
-int dy_flow_holder_has(const dy_flow_holder_t *holder,
-		       const dy_flow_id_t *flow);
+int dy_flow_holder_has_flow(const dy_flow_holder_t *holder,
+			    const dy_flow_id_t *flow);
 
 /* Open or opening flows. */
 unsigned dy_flow_holder_count(const dy_flow_holder_t *holder);
--- a/include/damaskyard/flow_ledger.h
+++ b/include/damaskyard/flow_ledger.h
@@ -45,17 +45,17 @@
  * For how many times the time between two lists one is believed: it is that
  * old, and as long in the writing, and power was out for a while.
  */
-#define DY_LEDGER_BELIEVED_LISTS 3
+#define DY_LEDGER_TTL_INTERVALS 3
 
 /*
  * How far a reset may be from the byte that its caller acknowledged last, in
  * bytes; a steady flow (flow_holder.h) moves on by less while its list is
  * believed.
  */
-#define DY_RESET_BYTES 76800
+#define DY_RESET_WINDOW_BYTES 76800
 
 /* How long a list is believed, in ms, where the next follows after pause_ms. */
-uint32_t dy_flow_ledger_believed_ms(uint32_t pause_ms);
+uint32_t dy_flow_ledger_ttl_ms(uint32_t pause_ms);
 
 typedef struct dy_flow_ledger dy_flow_ledger_t;
 
@@ -66,12 +66,14 @@
  * Take a part of a list, which is copied. The list takes the place of the
  * agent's last one once all of its parts have come. Returns 1 then, else 0.
  */
-int dy_flow_ledger_take(dy_flow_ledger_t *ledger, const dy_ledger_part_t *part);
+int dy_flow_ledger_add_part(dy_flow_ledger_t *ledger,
+			    const dy_ledger_part_t *part);
 
 /* Call each() for every part of an agent's list. Returns how many. */
 typedef void dy_flow_ledger_cb_t(void *context, dy_ledger_part_t *part);
-unsigned dy_flow_ledger_each(const dy_flow_ledger_t *ledger, const char *agent,
-			     dy_flow_ledger_cb_t *each, void *context);
+unsigned dy_flow_ledger_each_part(const dy_flow_ledger_t *ledger,
+				  const char *agent, dy_flow_ledger_cb_t *each,
+				  void *context);
 
 /* Append all lists to bytes, for dy_flow_ledger_load(). */
 void dy_flow_ledger_write(const dy_flow_ledger_t *ledger, GByteArray *bytes);
--- a/include/damaskyard/flow_router.h
+++ b/include/damaskyard/flow_router.h
@@ -44,9 +44,9 @@
 	/* Reset a flow towards its caller. */
 	void (*reset)(void *context, const dy_flow_id_t *flow, uint32_t seq);
 	/* Have the members confirmed soon; see set_confirmed(). */
-	void (*confirm)(void *context);
+	void (*confirm_members)(void *context);
 	/* Ask the agent for a report. */
-	void (*ask)(void *context, const dy_address_t *agent);
+	void (*request_report)(void *context, const dy_address_t *agent);
 } dy_flow_router_callbacks_t;
 
 typedef struct dy_flow_router_config {
@@ -83,17 +83,19 @@
 void dy_flow_router_set_confirmed(dy_flow_router_t *router, uint64_t polled_ms);
 
 /* Take a packet of a caller; bytes is what was decoded into packet. */
-void dy_flow_router_take(dy_flow_router_t *router, const dy_packet_t *packet,
-			 uint8_t *bytes, size_t len, uint64_t now_ms);
+void dy_flow_router_receive_packet(dy_flow_router_t *router,
+				   const dy_packet_t *packet, uint8_t *bytes,
+				   size_t len, uint64_t now_ms);
 
 /* Take what agents say. packet is nowhere->packet, decoded. */
-void dy_flow_router_held(dy_flow_router_t *router, const dy_flow_held_t *held,
-			 uint64_t now_ms);
-void dy_flow_router_nowhere(dy_flow_router_t *router,
-			    const dy_flow_nowhere_t *nowhere,
-			    const dy_packet_t *packet, uint64_t now_ms);
-void dy_flow_router_report(dy_flow_router_t *router,
-			   const dy_flow_report_t *report, uint64_t now_ms);
+void dy_flow_router_receive_held(dy_flow_router_t *router,
+				 const dy_flow_held_t *held, uint64_t now_ms);
+void dy_flow_router_receive_nowhere(dy_flow_router_t *router,
+				    const dy_flow_nowhere_t *nowhere,
+				    const dy_packet_t *packet, uint64_t now_ms);
+void dy_flow_router_receive_report(dy_flow_router_t *router,
+				   const dy_flow_report_t *report,
+				   uint64_t now_ms);
 
 /* Forget flows that were idle for too long. Call it some times a second. */
 void dy_flow_router_expire(dy_flow_router_t *router, uint64_t now_ms);
--- a/include/damaskyard/opening_queue.h
+++ b/include/damaskyard/opening_queue.h
@@ -33,7 +33,7 @@
  * How long one waits at most, in ms. Its caller gives it up after 1,400; the
  * refusal leaves it the time for another try.
  */
-#define DY_OPENING_WAIT_MS 500
+#define DY_OPENING_WAIT_MAX_MS 500
 
 typedef struct dy_opening_queue dy_opening_queue_t;
 
@@ -61,11 +61,11 @@
 			 const dy_flow_id_t *flow);
 
 /* Take the youngest. Returns 0 if there is none. */
-int dy_opening_queue_take(dy_opening_queue_t *queue, dy_opening_t *opening);
+int dy_opening_queue_pop(dy_opening_queue_t *queue, dy_opening_t *opening);
 
 /* Take one that has waited for too long. Returns 0 if there is none. */
-int dy_opening_queue_expire(dy_opening_queue_t *queue, uint64_t now_ms,
-			    dy_opening_t *opening);
+int dy_opening_queue_pop_expired(dy_opening_queue_t *queue, uint64_t now_ms,
+				 dy_opening_t *opening);
 
 unsigned dy_opening_queue_count(const dy_opening_queue_t *queue);
 
--- a/include/damaskyard/packet.h
+++ b/include/damaskyard/packet.h
@@ -19,21 +19,21 @@
 
 typedef struct dy_packet {
 	dy_flow_id_t flow;
-	unsigned marks;
+	unsigned flags;
 	/*
 	 * A number of our own, that a target returns in a packet that it gives
 	 * back. Callers and targets leave it 0.
 	 */
-	uint32_t note;
+	uint32_t tag;
 	uint16_t data_bytes;
-	unsigned copy; /* of an opening: how often it was sent before */
+	unsigned retransmits; /* of an opening: how often it was sent before */
 	/*
 	 * The id of the request that begins in the data, for logs alone: bytes
 	 * of the packet, not ended by a NUL. NULL: none was looked for, or
 	 * found.
 	 */
-	const char *request;
-	unsigned request_len;
+	const char *request_id;
+	unsigned request_id_len;
 	uint32_t seq;
 	uint32_t ack;
 } dy_packet_t;
--- a/include/damaskyard/search_limit.h
+++ b/include/damaskyard/search_limit.h
@@ -24,15 +24,15 @@
  * Searches at once. One takes 10 to 100 ms and 2 KB, so these are 160 to
  * 1,600 a second, and 0.3 MB/s at the lower end: a third of the link.
  */
-#define DY_SEARCHES_AT_ONCE 16
+#define DY_SEARCHES_MAX 16
 
 /* A search without an end for so long is lost on its way, in ms. */
-#define DY_SEARCH_ANSWER_MS 300
+#define DY_SEARCH_TIMEOUT_MS 300
 
 /* One search: part of what it is for. */
 typedef struct dy_search_slot {
 	dy_list_t link;
-	uint64_t begun_ms;
+	uint64_t started_ms;
 } dy_search_slot_t;
 
 typedef struct dy_search_limit {
--- a/include/damaskyard/session.h
+++ b/include/damaskyard/session.h
@@ -22,34 +22,34 @@
 #include "damaskyard/rpc.h"
 
 /* Where a session stands in its handover to a successor. */
-typedef enum dy_session_place {
-	DY_SESSION_HERE,    /* served here */
-	DY_SESSION_CLOSING, /* its last calls end; new ones are dropped */
-	DY_SESSION_MOVED,   /* the successor may have it: never run here */
-	DY_SESSION_TAKEN,   /* the successor has said that it has it */
+typedef enum dy_session_state {
+	DY_SESSION_LOCAL,    /* served here */
+	DY_SESSION_CLOSING,  /* its last calls end; new ones are dropped */
+	DY_SESSION_MOVED,    /* the successor may have it: never run here */
+	DY_SESSION_ACCEPTED, /* the successor has said that it has it */
 	DY_SESSION_LOST /* moved, and the successor died before it said so */
-} dy_session_place_t;
+} dy_session_state_t;
 
 typedef struct dy_session {
 	uint64_t id;
 	uint64_t caller; /* hash of who calls */
 	uint64_t last_use_ms;
-	uint64_t sent_ms;   /* of its handover, last */
-	uint64_t successor; /* member id, once moved */
+	uint64_t handover_sent_ms; /* of its handover, last */
+	uint64_t successor;	   /* member id, once moved */
 	uint64_t successor_incarnation;
-	dy_list_t recent; /* in the table, by last use */
-	dy_list_t calls;  /* in progress, the owner's */
-	dy_drc_t *drc;	  /* NULL before the first non-idempotent call */
+	dy_list_t lru_link; /* in the table, by last use */
+	dy_list_t calls;    /* in progress, the owner's */
+	dy_drc_t *drc;	    /* NULL before the first non-idempotent call */
 	uint8_t *credential;
 	uint16_t credential_len;
 	uint16_t call_count; /* in calls */
 	uint32_t flavor;     /* of the caller's own credential */
 	uint32_t key_id;     /* of the token given last */
-	uint8_t place;	     /* a dy_session_place_t */
+	uint8_t state;	     /* a dy_session_state_t */
 	uint8_t received;    /* by handover */
-	uint8_t guest;	     /* for one call only; its owner is elsewhere */
+	uint8_t transient;   /* for one call only; its owner is elsewhere */
 	uint8_t refused;     /* its successor never took it nor will */
-	uint8_t tries;	     /* messages of its handover, up to 255 */
+	uint8_t handover_attempts; /* messages of its handover, up to 255 */
 } dy_session_t;
 
 typedef struct dy_sessions dy_sessions_t;
@@ -79,9 +79,9 @@
 				const dy_address_t *caller, uint32_t xid);
 
 /* Returns the hash by which a caller's sessions are told to be its own. */
-uint64_t dy_sessions_caller(const dy_sessions_t *sessions,
-			    const dy_address_t *address,
-			    const dy_rpc_auth_t *credential);
+uint64_t dy_sessions_caller_hash(const dy_sessions_t *sessions,
+				 const dy_address_t *address,
+				 const dy_rpc_auth_t *credential);
 
 /*
  * Open a session for a caller with that credential. Returns NULL if the
--- a/soak/callers.c
+++ b/soak/callers.c
@@ -157,12 +157,12 @@
 	if (!dy_flow_id_equal(&packet.flow, &caller->flow) ||
 	    caller->stage == STAGE_NONE)
 		return;
-	if (packet.marks & DY_PACKET_RST) {
+	if (packet.flags & DY_PACKET_RST) {
 		soak.resets++;
 		if (caller->stage == STAGE_OPEN)
 			check_reset(caller);
 		end_flow(caller);
-	} else if (packet.marks & DY_PACKET_SYN) {
+	} else if (packet.flags & DY_PACKET_SYN) {
 		if (caller->stage == STAGE_OPEN)
 			return;
 		caller->stage = STAGE_OPEN;
--- a/soak/targets.c
+++ b/soak/targets.c
@@ -116,7 +116,7 @@
 	    platform_packet_load((uint8_t *)buf->base, (size_t)len,
 				 PLATFORM_FROM_CALLER, &packet))
 		return;
-	if (packet.marks & DY_PACKET_SYN) {
+	if (packet.flags & DY_PACKET_SYN) {
 		take_opening(target, &packet);
 		return;
 	}
@@ -130,7 +130,7 @@
 	flow->open = 1;
 	memcpy(data, buf->base + PLATFORM_HEAD_BYTES,
 	       MIN(packet.data_bytes, sizeof(data) - 1));
-	if (packet.marks & DY_PACKET_FIN) {
+	if (packet.flags & DY_PACKET_FIN) {
 		reply(target, flow, DY_PACKET_ACK | DY_PACKET_FIN, &packet, "");
 		g_hash_table_remove(target->flows, &packet.flow);
 	} else if (packet.data_bytes) {
--- a/src/connection/cold_limit.c
+++ b/src/connection/cold_limit.c
@@ -4,7 +4,7 @@
 {
 	limit->times = g_array_new(FALSE, FALSE, sizeof(uint64_t));
 	limit->next = 0;
-	limit->most = 0;
+	limit->max_per_window = 0;
 }
 
 void dy_cold_limit_clear(dy_cold_limit_t *limit)
@@ -23,22 +23,23 @@
 
 void dy_cold_limit_set(dy_cold_limit_t *limit, unsigned most)
 {
-	limit->most = MIN(most, DY_COLD_OPENINGS_MOST);
+	limit->max_per_window = MIN(most, DY_COLD_OPENINGS_MAX);
 }
 
 int dy_cold_limit_allows(const dy_cold_limit_t *limit, uint64_t now_ms)
 {
-	if (!limit->most || limit->times->len < limit->most)
+	if (!limit->max_per_window || limit->times->len < limit->max_per_window)
 		return 1;
-	return now_ms - time_at(limit, limit->most - 1) >= DY_COLD_SPAN_MS;
+	return now_ms - time_at(limit, limit->max_per_window - 1) >=
+	       DY_COLD_WINDOW_MS;
 }
 
-void dy_cold_limit_note(dy_cold_limit_t *limit, uint64_t now_ms)
+void dy_cold_limit_record(dy_cold_limit_t *limit, uint64_t now_ms)
 {
-	if (limit->times->len < DY_COLD_OPENINGS_MOST) {
+	if (limit->times->len < DY_COLD_OPENINGS_MAX) {
 		g_array_append_val(limit->times, now_ms);
 		return;
 	}
 	g_array_index(limit->times, uint64_t, limit->next) = now_ms;
-	limit->next = (limit->next + 1) % DY_COLD_OPENINGS_MOST;
+	limit->next = (limit->next + 1) % DY_COLD_OPENINGS_MAX;
 }
--- a/src/connection/flow_holder.c
+++ b/src/connection/flow_holder.c
@@ -36,7 +36,7 @@
 	for (i = 0; i < STAGES; i++)
 		dy_list_init(&holder->stages[i]);
 	dy_list_init(&holder->requests);
-	holder->kept = g_new0(kept_forward_t, DY_FORWARDS_KEPT);
+	holder->kept = g_new0(kept_forward_t, DY_PENDING_FORWARDS_MAX);
 	holder->waiting = dy_opening_queue_create();
 	dy_cold_limit_init(&holder->cold);
 	holder->flow_limit = limit;
@@ -83,7 +83,7 @@
 		if (dy_address_equal(&balancer->address, address))
 			return balancer;
 	}
-	if (holder->balancer_count == DY_REPORTED_MAX)
+	if (holder->balancer_count == DY_REPORT_BALANCERS_MAX)
 		return NULL;
 	balancer = &holder->balancers[holder->balancer_count++];
 	balancer->address = *address;
@@ -103,8 +103,8 @@
 		balancer->heard = 1;
 }
 
-void dy_flow_holder_asked(dy_flow_holder_t *holder, const dy_address_t *address,
-			  uint64_t now_ms)
+void dy_flow_holder_subscribe(dy_flow_holder_t *holder,
+			      const dy_address_t *address, uint64_t now_ms)
 {
 	note_balancer(holder, address, 1, now_ms);
 }
@@ -150,7 +150,7 @@
 	}
 	nowhere.flow = packet->flow;
 	nowhere.agent = holder->config.self;
-	nowhere.reason = packet->marks & DY_PACKET_SYN ? DY_FLOW_REFUSED
+	nowhere.reason = packet->flags & DY_PACKET_SYN ? DY_FLOW_REFUSED
 						       : DY_FLOW_NOT_HELD;
 	nowhere.complete = forward->complete;
 	nowhere.certain = forward->certain;
@@ -169,12 +169,12 @@
 	kept_forward_t *kept;
 
 	/* What only acknowledges is not answered. */
-	if (packet->data_bytes || packet->marks & DY_PACKET_SYN)
+	if (packet->data_bytes || packet->flags & DY_PACKET_SYN)
 		holder_note_owing(holder, now_ms);
 
 	if (!++holder->last_note)
 		++holder->last_note;
-	kept = &holder->kept[holder->last_note % DY_FORWARDS_KEPT];
+	kept = &holder->kept[holder->last_note % DY_PENDING_FORWARDS_MAX];
 	kept->note = holder->last_note;
 	kept->forward = *forward;
 	g_strlcpy(kept->service, forward->service, sizeof(kept->service));
@@ -222,9 +222,9 @@
 		return;
 	if (packet->data_bytes)
 		holder_begin_request(holder, flow, packet, now_ms);
-	if (packet->marks & DY_PACKET_FIN)
+	if (packet->flags & DY_PACKET_FIN)
 		flow->caller_ended = 1;
-	if (packet->marks & DY_PACKET_RST ||
+	if (packet->flags & DY_PACKET_RST ||
 	    (flow->caller_ended && flow->target_ended))
 		holder_enter_stage(holder, flow, STAGE_ENDED, now_ms);
 }
@@ -263,18 +263,19 @@
 static int is_silent(const dy_flow_holder_t *holder, uint64_t now_ms)
 {
 	return holder->has_target &&
-	       now_ms - holder->noticed_ms > DY_TARGET_SILENT_MS;
+	       now_ms - holder->noticed_ms > DY_NOTICE_TIMEOUT_MS;
 }
 
-void dy_flow_holder_take(dy_flow_holder_t *holder, dy_flow_forward_t *forward,
-			 const dy_packet_t *packet, uint64_t now_ms)
+void dy_flow_holder_receive_forward(dy_flow_holder_t *holder,
+				    dy_flow_forward_t *forward,
+				    const dy_packet_t *packet, uint64_t now_ms)
 {
 	held_flow_t *flow = g_hash_table_lookup(holder->flows, &packet->flow);
 
 	if (forward->step >= forward->tries.tries_len)
 		return;
 	note_balancer(holder, &forward->balancer, !forward->step, now_ms);
-	if (packet->marks & DY_PACKET_SYN)
+	if (packet->flags & DY_PACKET_SYN)
 		holder_take_opening(holder, forward, packet, flow, now_ms);
 	else if (flow)
 		take_known(holder, forward, packet, flow, now_ms);
@@ -291,15 +292,16 @@
 static void take_back(dy_flow_holder_t *holder, const dy_packet_t *packet,
 		      uint8_t *bytes, size_t len, uint64_t now_ms)
 {
-	kept_forward_t *kept = &holder->kept[packet->note % DY_FORWARDS_KEPT];
+	kept_forward_t *kept =
+		&holder->kept[packet->tag % DY_PENDING_FORWARDS_MAX];
 	held_flow_t *flow = g_hash_table_lookup(holder->flows, &packet->flow);
-	int opening = !!(packet->marks & DY_PACKET_SYN);
+	int opening = !!(packet->flags & DY_PACKET_SYN);
 	dy_flow_forward_t forward;
 
 	++*holder->bounced;
 	if (flow && (!opening || flow->stage == STAGE_HALF))
 		holder_drop_flow(holder, flow, "given_back", now_ms);
-	if (!packet->note || kept->note != packet->note) {
+	if (!packet->tag || kept->note != packet->tag) {
 		++*holder->stale_notes;
 		return;
 	}
@@ -316,7 +318,7 @@
 static void note_target(dy_flow_holder_t *holder, held_flow_t *flow,
 			const dy_packet_t *packet, uint64_t now_ms)
 {
-	if (packet->marks & DY_PACKET_SYN) {
+	if (packet->flags & DY_PACKET_SYN) {
 		if (!flow->answered)
 			dy_histogram_add(&holder->opening_ms,
 					 now_ms - flow->used_ms);
@@ -328,21 +330,21 @@
 		dy_histogram_add(&holder->answer_ms, now_ms - flow->busy_ms);
 	if (packet->data_bytes)
 		holder_end_request(holder, flow, "answered", now_ms);
-	if (packet->marks & DY_PACKET_FIN)
+	if (packet->flags & DY_PACKET_FIN)
 		flow->target_ended = 1;
-	if (packet->marks & DY_PACKET_RST ||
+	if (packet->flags & DY_PACKET_RST ||
 	    (flow->caller_ended && flow->target_ended))
 		holder_enter_stage(holder, flow, STAGE_ENDED, now_ms);
 }
 
-void dy_flow_holder_from_target(dy_flow_holder_t *holder,
-				const dy_packet_t *packet, uint8_t *bytes,
-				size_t len, uint64_t now_ms)
+void dy_flow_holder_receive_packet(dy_flow_holder_t *holder,
+				   const dy_packet_t *packet, uint8_t *bytes,
+				   size_t len, uint64_t now_ms)
 {
 	held_flow_t *flow;
 
 	holder_note_alive(holder);
-	if (packet->marks & DY_PACKET_BOUNCED) {
+	if (packet->flags & DY_PACKET_BOUNCED) {
 		take_back(holder, packet, bytes, len, now_ms);
 		return;
 	}
@@ -350,10 +352,10 @@
 	if (!flow)
 		flow = holder_add_flow(
 			holder, &packet->flow,
-			packet->marks & DY_PACKET_SYN ? STAGE_HALF : STAGE_OPEN,
+			packet->flags & DY_PACKET_SYN ? STAGE_HALF : STAGE_OPEN,
 			now_ms);
 	note_target(holder, flow, packet, now_ms);
-	if (packet->marks & DY_PACKET_SYN && flow->opener.port)
+	if (packet->flags & DY_PACKET_SYN && flow->opener.port)
 		holder_tell_held(holder, &flow->opener, &flow->id,
 				 flow->stage != STAGE_HALF, now_ms);
 	++*holder->to_callers;
@@ -372,7 +374,7 @@
 	message.agent = holder->config.self;
 	fill_load(holder, &message.load, now_ms);
 	while (i < holder->balancer_count) {
-		if (now_ms - holder->balancers[i].heard_ms > DY_REPORTED_MS) {
+		if (now_ms - holder->balancers[i].heard_ms > DY_REPORT_TTL_MS) {
 			holder->balancers[i] =
 				holder->balancers[--holder->balancer_count];
 			continue;
@@ -389,8 +391,8 @@
 {
 	holder_expire(holder, STAGE_HALF, DY_HALF_OPEN_MS, now_ms);
 	holder_expire(holder, STAGE_OPEN, DY_HELD_IDLE_MS, now_ms);
-	holder_expire(holder, STAGE_ENDED, DY_ENDED_MS, now_ms);
-	if (holder->ready && now_ms - holder->noticed_ms > DY_TARGET_SILENT_MS)
+	holder_expire(holder, STAGE_ENDED, DY_TIME_WAIT_MS, now_ms);
+	if (holder->ready && now_ms - holder->noticed_ms > DY_NOTICE_TIMEOUT_MS)
 		holder_set_ready(holder, 0, "silent");
 	holder_forget_requests(holder, now_ms);
 	holder_check_presence(holder, now_ms);
--- a/src/connection/flow_holder_flows.c
+++ b/src/connection/flow_holder_flows.c
@@ -35,8 +35,8 @@
 	holder->busy++;
 	dy_list_append(&holder->requests, &flow->request_link);
 	g_snprintf(flow->request, sizeof(flow->request), "%.*s",
-		   packet->request ? (int)packet->request_len : 0,
-		   packet->request ? packet->request : "");
+		   packet->request_id ? (int)packet->request_id_len : 0,
+		   packet->request_id ? packet->request_id : "");
 	log_request(holder, "request_begun", flow, "given_to_target", now_ms);
 }
 
@@ -58,7 +58,7 @@
 	while (!dy_list_empty(&holder->requests)) {
 		flow = DY_LIST_ITEM(holder->requests.next, held_flow_t,
 				    request_link);
-		if (now_ms - flow->busy_ms < DY_REQUEST_FORGOTTEN_MS)
+		if (now_ms - flow->busy_ms < DY_REQUEST_TIMEOUT_MS)
 			return;
 		holder_end_request(holder, flow, "unanswered", now_ms);
 	}
@@ -163,14 +163,15 @@
 {
 	uint64_t age_ms = now_ms - flow->open_ms;
 
-	return flow->open_ms && age_ms >= DY_STEADY_MS &&
+	return flow->open_ms && age_ms >= DY_LOW_RATE_MIN_AGE_MS &&
 	       flow->caller_ack - flow->open_ack <=
-		       DY_STEADY_BYTES +
-			       age_ms * DY_STEADY_BYTES_A_SECOND / 1000;
+		       DY_LOW_RATE_BURST_BYTES +
+			       age_ms * DY_LOW_RATE_BYTES_PER_S / 1000;
 }
 
-void dy_flow_holder_each_steady(const dy_flow_holder_t *holder, uint64_t now_ms,
-				dy_flow_holder_cb_t *each, void *context)
+void dy_flow_holder_each_low_rate(const dy_flow_holder_t *holder,
+				  uint64_t now_ms, dy_flow_holder_cb_t *each,
+				  void *context)
 {
 	const held_flow_t *flow;
 	const dy_list_t *pos;
@@ -183,7 +184,8 @@
 	}
 }
 
-int dy_flow_holder_has(const dy_flow_holder_t *holder, const dy_flow_id_t *flow)
+int dy_flow_holder_has_flow(const dy_flow_holder_t *holder,
+			    const dy_flow_id_t *flow)
 {
 	return g_hash_table_contains(holder->flows, flow);
 }
--- a/src/connection/flow_holder_notice.c
+++ b/src/connection/flow_holder_notice.c
@@ -70,12 +70,12 @@
 	if (holder->has_target || notice->sequence <= FIRST_SEQUENCE)
 		holder->saw_start = 1;
 	if (!holder->saw_start)
-		holder->unseen_until_ms = now_ms + DY_COLD_SPAN_MS;
+		holder->unseen_until_ms = now_ms + DY_COLD_WINDOW_MS;
 	holder->has_target = 1;
 	holder->left = 0;
 	holder->ready = 0;
 	holder->listened = 0;
-	holder->config.callbacks->check(holder->config.context);
+	holder->config.callbacks->check_port(holder->config.context);
 }
 
 typedef enum notice_age {
@@ -106,8 +106,9 @@
 	return notice->sequence > held->sequence ? NOTICE_NEWER : NOTICE_OLD;
 }
 
-int dy_flow_holder_notice(dy_flow_holder_t *holder,
-			  const dy_target_notice_t *notice, uint64_t now_ms)
+int dy_flow_holder_receive_notice(dy_flow_holder_t *holder,
+				  const dy_target_notice_t *notice,
+				  uint64_t now_ms)
 {
 	notice_age_t age;
 
@@ -138,7 +139,7 @@
 	return 1;
 }
 
-void dy_flow_holder_leave(dy_flow_holder_t *holder, const char *id)
+void dy_flow_holder_target_left(dy_flow_holder_t *holder, const char *id)
 {
 	if (!holder->has_target || strcmp(id, holder->notice.id) != 0)
 		return;
@@ -173,10 +174,11 @@
 	return holder->notice.slots;
 }
 
-int dy_flow_holder_is_over(const dy_flow_holder_t *holder, uint64_t now_ms)
+int dy_flow_holder_is_target_inactive(const dy_flow_holder_t *holder,
+				      uint64_t now_ms)
 {
 	return !holder->has_target || holder->left ||
-	       now_ms - holder->noticed_ms > DY_TARGET_SILENT_MS;
+	       now_ms - holder->noticed_ms > DY_NOTICE_TIMEOUT_MS;
 }
 
 unsigned dy_flow_holder_count(const dy_flow_holder_t *holder)
--- a/src/connection/flow_holder_openings.c
+++ b/src/connection/flow_holder_openings.c
@@ -23,7 +23,8 @@
 {
 	unsigned slots = holder->notice.slots;
 	unsigned most = (DY_OVERLOAD_PERCENT * slots + 99) / 100;
-	unsigned limit = fresh ? most : MIN(most, slots + DY_WAITED_AHEAD);
+	unsigned limit =
+		fresh ? most : MIN(most, slots + DY_QUEUED_EXTRA_REQUESTS);
 	const dy_list_t *halves = &holder->stages[STAGE_HALF];
 	unsigned expected = holder->busy;
 	const dy_list_t *pos;
@@ -31,7 +32,7 @@
 	for (pos = halves->prev; pos != halves && expected < limit;
 	     pos = pos->prev) {
 		if (now_ms - DY_LIST_ITEM(pos, held_flow_t, link)->used_ms >
-		    DY_FIRST_REQUEST_MS)
+		    DY_FIRST_REQUEST_TIMEOUT_MS)
 			break;
 		expected++;
 	}
@@ -54,19 +55,19 @@
 	else
 		dy_cold_limit_set(
 			&holder->cold,
-			MAX(1, (unsigned)MIN(most, DY_COLD_OPENINGS_MOST)));
+			MAX(1, (unsigned)MIN(most, DY_COLD_OPENINGS_MAX)));
 }
 
 /* A target that turned warm in this very window is cold in a part of it. */
 static int is_cold(const dy_flow_holder_t *holder, uint64_t now_ms)
 {
-	return now_ms < holder->cold_until_ms + DY_COLD_SPAN_MS;
+	return now_ms < holder->cold_until_ms + DY_COLD_WINDOW_MS;
 }
 
 /* Whether a target that is cold bears one more opening in this second. */
 static int bears_opening(const dy_flow_holder_t *holder, uint64_t now_ms)
 {
-	if (!holder->cold.most || !is_cold(holder, now_ms))
+	if (!holder->cold.max_per_window || !is_cold(holder, now_ms))
 		return 1;
 	return now_ms >= holder->unseen_until_ms &&
 	       dy_cold_limit_allows(&holder->cold, now_ms);
@@ -93,7 +94,7 @@
 	if (flow)
 		holder_drop_flow(holder, flow, "opened_anew", now_ms);
 	++*holder->opened;
-	dy_cold_limit_note(&holder->cold, now_ms);
+	dy_cold_limit_record(&holder->cold, now_ms);
 	flow = holder_add_flow(holder, &packet->flow, STAGE_HALF, now_ms);
 	flow->opener = forward->balancer;
 	holder_log_flow(holder, "flow_taken", &packet->flow, "opening", now_ms);
@@ -107,11 +108,11 @@
 
 	if (!dy_opening_queue_count(holder->waiting))
 		return;
-	while (dy_opening_queue_expire(holder->waiting, now_ms, &opening))
+	while (dy_opening_queue_pop_expired(holder->waiting, now_ms, &opening))
 		holder_pass_on(holder, &opening.forward, &opening.packet, 1);
 	while ((!accepts || (has_room(holder, 0, now_ms) &&
 			     bears_opening(holder, now_ms))) &&
-	       dy_opening_queue_take(holder->waiting, &opening)) {
+	       dy_opening_queue_pop(holder->waiting, &opening)) {
 		if (accepts)
 			admit(holder, &opening.forward, &opening.packet,
 			      now_ms);
@@ -137,7 +138,8 @@
 {
 	if (!bears_opening(holder, now_ms))
 		return "cold";
-	return has_room(holder, !packet->copy, now_ms) ? NULL : "overload";
+	return has_room(holder, !packet->retransmits, now_ms) ? NULL
+							      : "overload";
 }
 
 static const char *why_not_taken(const dy_flow_holder_t *holder)
--- a/src/connection/flow_holder_presence.c
+++ b/src/connection/flow_holder_presence.c
@@ -31,8 +31,8 @@
 		return;
 	if (holder->refusals ||
 	    (holder->owing_ms &&
-	     now_ms - holder->owing_ms >= DY_TARGET_OWING_MS))
-		holder->config.callbacks->check(holder->config.context);
+	     now_ms - holder->owing_ms >= DY_TARGET_RESPONSE_TIMEOUT_MS))
+		holder->config.callbacks->check_port(holder->config.context);
 }
 
 static void note_gone(dy_flow_holder_t *holder, uint64_t now_ms)
@@ -50,8 +50,8 @@
 	holder_set_ready(holder, 0, "gone");
 }
 
-void dy_flow_holder_checked(dy_flow_holder_t *holder, dy_port_state_t state,
-			    uint64_t now_ms)
+void dy_flow_holder_port_checked(dy_flow_holder_t *holder,
+				 dy_port_state_t state, uint64_t now_ms)
 {
 	if (state == DY_PORT_LISTENING)
 		holder->listened = 1;
@@ -71,18 +71,18 @@
 		note_gone(holder, now_ms);
 }
 
-dy_target_past_t dy_flow_holder_tell_past(const dy_flow_holder_t *holder,
-					  const char *id, uint64_t born_ms)
+dy_target_instance_state_t dy_flow_holder_instance_state(
+	const dy_flow_holder_t *holder, const char *id, uint64_t born_ms)
 {
 	const dy_target_notice_t *notice = &holder->notice;
 
 	if (holder->absent)
-		return DY_TARGET_OVER;
+		return DY_TARGET_INSTANCE_ENDED;
 	if (!holder->has_target)
-		return DY_TARGET_NOT_KNOWN;
+		return DY_TARGET_INSTANCE_UNKNOWN;
 	return born_ms == notice->born_ms && !strcmp(id, notice->id)
-		       ? DY_TARGET_CURRENT
-		       : DY_TARGET_OVER;
+		       ? DY_TARGET_INSTANCE_CURRENT
+		       : DY_TARGET_INSTANCE_ENDED;
 }
 
 const dy_target_notice_t *dy_flow_holder_target(const dy_flow_holder_t *holder)
@@ -90,7 +90,7 @@
 	return holder->has_target && !holder->absent ? &holder->notice : NULL;
 }
 
-int dy_flow_holder_is_empty(const dy_flow_holder_t *holder)
+int dy_flow_holder_is_target_gone(const dy_flow_holder_t *holder)
 {
 	return holder->absent;
 }
--- a/src/connection/flow_holder_private.h
+++ b/src/connection/flow_holder_private.h
@@ -86,7 +86,7 @@
 	dy_opening_queue_t *waiting; /* openings, for room at the target */
 	kept_forward_t *kept;
 	uint32_t last_note;
-	balancer_t balancers[DY_REPORTED_MAX];
+	balancer_t balancers[DY_REPORT_BALANCERS_MAX];
 	unsigned balancer_count;
 	dy_log_limit_t flow_limit;
 	dy_log_limit_t refused_limit;
@@ -159,7 +159,7 @@
 			  const dy_packet_t *packet, uint64_t now_ms);
 void holder_end_request(dy_flow_holder_t *holder, held_flow_t *flow,
 			const char *outcome, uint64_t now_ms);
-/* End requests that had no answer for DY_REQUEST_FORGOTTEN_MS. */
+/* End requests that had no answer for DY_REQUEST_TIMEOUT_MS. */
 void holder_forget_requests(dy_flow_holder_t *holder, uint64_t now_ms);
 
 /* What is known of the target's presence; flow_holder_presence.c. */
--- a/src/connection/flow_ledger.c
+++ b/src/connection/flow_ledger.c
@@ -54,12 +54,12 @@
 	return MIN(MAX(losses, 1u) + 1, controls);
 }
 
-uint32_t dy_flow_ledger_believed_ms(uint32_t pause_ms)
+uint32_t dy_flow_ledger_ttl_ms(uint32_t pause_ms)
 {
-	uint32_t most_ms = (DY_RESET_BYTES - DY_STEADY_BYTES) /
-			   DY_STEADY_BYTES_A_SECOND * 1000;
+	uint32_t most_ms = (DY_RESET_WINDOW_BYTES - DY_LOW_RATE_BURST_BYTES) /
+			   DY_LOW_RATE_BYTES_PER_S * 1000;
 
-	return MIN(DY_LEDGER_BELIEVED_LISTS * pause_ms, most_ms);
+	return MIN(DY_LEDGER_TTL_INTERVALS * pause_ms, most_ms);
 }
 
 dy_flow_ledger_t *dy_flow_ledger_create(void)
@@ -140,7 +140,8 @@
 	return 1;
 }
 
-int dy_flow_ledger_take(dy_flow_ledger_t *ledger, const dy_ledger_part_t *part)
+int dy_flow_ledger_add_part(dy_flow_ledger_t *ledger,
+			    const dy_ledger_part_t *part)
 {
 	account_t *account;
 
@@ -188,8 +189,9 @@
 	return part.parts;
 }
 
-unsigned dy_flow_ledger_each(const dy_flow_ledger_t *ledger, const char *agent,
-			     dy_flow_ledger_cb_t *each, void *context)
+unsigned dy_flow_ledger_each_part(const dy_flow_ledger_t *ledger,
+				  const char *agent, dy_flow_ledger_cb_t *each,
+				  void *context)
 {
 	const account_t *account = g_hash_table_lookup(ledger->accounts, agent);
 
@@ -233,7 +235,7 @@
 		memset(&part, 0, sizeof(part));
 		readable = xdr_dy_ledger_part_t(&xdr, &part);
 		if (readable)
-			dy_flow_ledger_take(ledger, &part);
+			dy_flow_ledger_add_part(ledger, &part);
 		xdr_free((xdrproc_t)xdr_dy_ledger_part_t, (char *)&part);
 	}
 	xdr_destroy(&xdr);
--- a/src/connection/flow_router.c
+++ b/src/connection/flow_router.c
@@ -181,14 +181,14 @@
 	char text[DY_FLOW_TEXT_BYTES];
 
 	/* The caller has given the flow up itself. */
-	if (packet->marks & DY_PACKET_RST)
+	if (packet->flags & DY_PACKET_RST)
 		return;
 	++*router->resets;
 	if (dy_log_allow(&router->reset_limit, "flow_reset", now_ms))
 		dy_log_event(DY_LOG_INFO, "flow_reset",
 			     "flow=%s opening=%d reason=%s",
 			     dy_flow_id_format(&packet->flow, text),
-			     !!(packet->marks & DY_PACKET_SYN), reason);
+			     !!(packet->flags & DY_PACKET_SYN), reason);
 	router->config.callbacks->reset(router->config.context, &packet->flow,
 					packet->ack);
 }
@@ -231,7 +231,8 @@
 		uint64_t now_ms)
 {
 	if (dy_flow_targets_begin_ask(router->targets, agent, now_ms))
-		router->config.callbacks->ask(router->config.context, agent);
+		router->config.callbacks->request_report(router->config.context,
+							 agent);
 }
 
 /*
@@ -384,7 +385,7 @@
 	flow = keep_flow(router, &packet->flow, now_ms);
 	flow->agent = list[0];
 	dy_flow_targets_note_opened(router->targets, &list[0]);
-	log_assigned(router, flow, service, count, packet->copy, now_ms);
+	log_assigned(router, flow, service, count, packet->retransmits, now_ms);
 	forward.service = (char *)service;
 	forward.cold_openings =
 		dy_flow_rules_cold_openings(router->rules, service);
@@ -423,9 +424,9 @@
 
 	if (!dy_log_allow(&router->searched_limit, "flow_searched", now_ms))
 		return;
-	if (packet->request)
+	if (packet->request_id)
 		g_snprintf(request, sizeof(request), "%.*s",
-			   (int)packet->request_len, packet->request);
+			   (int)packet->request_id_len, packet->request_id);
 	dy_log_event(DY_LOG_INFO, "flow_searched",
 		     "flow=%s request=%s agents=%u searches_before=%u",
 		     dy_flow_id_format(&packet->flow, text),
@@ -565,13 +566,14 @@
 	search(router, packet, bytes, len, &from_the_first, now_ms);
 }
 
-void dy_flow_router_take(dy_flow_router_t *router, const dy_packet_t *packet,
-			 uint8_t *bytes, size_t len, uint64_t now_ms)
+void dy_flow_router_receive_packet(dy_flow_router_t *router,
+				   const dy_packet_t *packet, uint8_t *bytes,
+				   size_t len, uint64_t now_ms)
 {
 	flow_t *flow;
 
 	++*router->packets;
-	if (packet->marks & DY_PACKET_SYN) {
+	if (packet->flags & DY_PACKET_SYN) {
 		take_opening(router, packet, bytes, len, now_ms);
 		return;
 	}
@@ -591,8 +593,8 @@
 		send_to_holder(router, flow, "", bytes, len, now_ms);
 }
 
-void dy_flow_router_held(dy_flow_router_t *router, const dy_flow_held_t *held,
-			 uint64_t now_ms)
+void dy_flow_router_receive_held(dy_flow_router_t *router,
+				 const dy_flow_held_t *held, uint64_t now_ms)
 {
 	flow_t *flow = keep_flow(router, &held->flow, now_ms);
 
@@ -627,10 +629,10 @@
 	flow->missing_ms = now_ms;
 	flow->missing_order = nowhere->order;
 	flow->missing = *packet;
-	flow->missing.request = NULL; /* bytes that do not last */
+	flow->missing.request_id = NULL; /* bytes that do not last */
 	dy_list_remove(&flow->missing_link);
 	dy_list_append(&router->missing, &flow->missing_link);
-	router->config.callbacks->confirm(router->config.context);
+	router->config.callbacks->confirm_members(router->config.context);
 }
 
 static void take_refusal(dy_flow_router_t *router, flow_t *flow,
@@ -647,9 +649,9 @@
 		drop_flow(router, flow);
 }
 
-void dy_flow_router_nowhere(dy_flow_router_t *router,
-			    const dy_flow_nowhere_t *nowhere,
-			    const dy_packet_t *packet, uint64_t now_ms)
+void dy_flow_router_receive_nowhere(dy_flow_router_t *router,
+				    const dy_flow_nowhere_t *nowhere,
+				    const dy_packet_t *packet, uint64_t now_ms)
 {
 	flow_t *flow = g_hash_table_lookup(router->flows, &nowhere->flow);
 	search_t next;
@@ -705,8 +707,9 @@
 			     dy_flow_targets_is_broken(router->targets, agent));
 }
 
-void dy_flow_router_report(dy_flow_router_t *router,
-			   const dy_flow_report_t *report, uint64_t now_ms)
+void dy_flow_router_receive_report(dy_flow_router_t *router,
+				   const dy_flow_report_t *report,
+				   uint64_t now_ms)
 {
 	dy_flow_targets_set_load(router->targets, &report->agent, &report->load,
 				 now_ms);
--- a/src/connection/opening_queue.c
+++ b/src/connection/opening_queue.c
@@ -41,7 +41,7 @@
 {
 	opening->forward = *forward;
 	opening->packet = *packet;
-	opening->packet.request = NULL; /* an opening has no data */
+	opening->packet.request_id = NULL; /* an opening has no data */
 	g_strlcpy(opening->service, forward->service, sizeof(opening->service));
 	memcpy(opening->tries, forward->tries.tries_val,
 	       forward->tries.tries_len * sizeof(opening->tries[0]));
@@ -86,7 +86,7 @@
 	g_hash_table_remove(queue->by_flow, &waiting->opening.packet.flow);
 }
 
-int dy_opening_queue_take(dy_opening_queue_t *queue, dy_opening_t *opening)
+int dy_opening_queue_pop(dy_opening_queue_t *queue, dy_opening_t *opening)
 {
 	if (dy_list_empty(&queue->by_age))
 		return 0;
@@ -94,15 +94,15 @@
 	return 1;
 }
 
-int dy_opening_queue_expire(dy_opening_queue_t *queue, uint64_t now_ms,
-			    dy_opening_t *opening)
+int dy_opening_queue_pop_expired(dy_opening_queue_t *queue, uint64_t now_ms,
+				 dy_opening_t *opening)
 {
 	waiting_t *oldest;
 
 	if (dy_list_empty(&queue->by_age))
 		return 0;
 	oldest = DY_LIST_ITEM(queue->by_age.next, waiting_t, link);
-	if (now_ms - oldest->since_ms < DY_OPENING_WAIT_MS)
+	if (now_ms - oldest->since_ms < DY_OPENING_WAIT_MAX_MS)
 		return 0;
 	take(queue, oldest, opening);
 	return 1;
--- a/src/connection/search_limit.c
+++ b/src/connection/search_limit.c
@@ -9,7 +9,7 @@
 void dy_search_slot_init(dy_search_slot_t *slot)
 {
 	dy_list_init(&slot->link);
-	slot->begun_ms = 0;
+	slot->started_ms = 0;
 }
 
 static void drop_unanswered(dy_search_limit_t *limit, uint64_t now_ms)
@@ -18,7 +18,7 @@
 
 	while (!dy_list_empty(&limit->slots)) {
 		slot = DY_LIST_ITEM(limit->slots.next, dy_search_slot_t, link);
-		if (now_ms - slot->begun_ms < DY_SEARCH_ANSWER_MS)
+		if (now_ms - slot->started_ms < DY_SEARCH_TIMEOUT_MS)
 			return;
 		dy_search_limit_end(limit, slot);
 	}
@@ -30,10 +30,10 @@
 	drop_unanswered(limit, now_ms);
 	if (!dy_list_empty(&slot->link))
 		return 1;
-	if (limit->count >= DY_SEARCHES_AT_ONCE)
+	if (limit->count >= DY_SEARCHES_MAX)
 		return 0;
 	limit->count++;
-	slot->begun_ms = now_ms;
+	slot->started_ms = now_ms;
 	dy_list_append(&limit->slots, &slot->link);
 	return 1;
 }
--- a/src/connection/session.c
+++ b/src/connection/session.c
@@ -73,9 +73,9 @@
  * The first word of an AUTH_SYS body is a stamp that differs from one client
  * object to the next; machine, user and groups follow.
  */
-uint64_t dy_sessions_caller(const dy_sessions_t *sessions,
-			    const dy_address_t *address,
-			    const dy_rpc_auth_t *credential)
+uint64_t dy_sessions_caller_hash(const dy_sessions_t *sessions,
+				 const dy_address_t *address,
+				 const dy_rpc_auth_t *credential)
 {
 	uint64_t seed =
 		XXH3_64bits_withSeed(address->ip, DY_IP_BYTES, sessions->seed);
@@ -98,7 +98,7 @@
 	session->credential = g_memdup2(credential, len);
 	session->credential_len = (uint16_t)len;
 	dy_list_init(&session->calls);
-	dy_list_append(&sessions->recent, &session->recent);
+	dy_list_append(&sessions->recent, &session->lru_link);
 	g_hash_table_insert(sessions->by_id, &session->id, session);
 	return session;
 }
@@ -156,14 +156,14 @@
 		       uint64_t now_ms)
 {
 	session->last_use_ms = now_ms;
-	dy_list_remove(&session->recent);
-	dy_list_append(&sessions->recent, &session->recent);
+	dy_list_remove(&session->lru_link);
+	dy_list_append(&sessions->recent, &session->lru_link);
 }
 
 void dy_sessions_remove(dy_sessions_t *sessions, dy_session_t *session)
 {
 	dy_assert(dy_list_empty(&session->calls));
-	dy_list_remove(&session->recent);
+	dy_list_remove(&session->lru_link);
 	g_hash_table_remove(sessions->by_id, &session->id);
 }
 
@@ -177,11 +177,11 @@
 
 	DY_LIST_EACH_SAFE(pos, tmp, &sessions->recent)
 	{
-		session = DY_LIST_ITEM(pos, dy_session_t, recent);
+		session = DY_LIST_ITEM(pos, dy_session_t, lru_link);
 		if (count == most ||
 		    now_ms < session->last_use_ms + sessions->idle_ms)
 			break;
-		if (session->place != DY_SESSION_HERE ||
+		if (session->state != DY_SESSION_LOCAL ||
 		    !dy_list_empty(&session->calls))
 			continue;
 		dy_sessions_remove(sessions, session);
@@ -207,5 +207,5 @@
 	dy_list_t *tmp;
 
 	DY_LIST_EACH_SAFE(pos, tmp, &sessions->recent)
-	each(context, DY_LIST_ITEM(pos, dy_session_t, recent));
+	each(context, DY_LIST_ITEM(pos, dy_session_t, lru_link));
 }
--- a/src/connection/former_flows.c
+++ b/src/connection/stale_flows.c
@@ -1,18 +1,18 @@
-#include "damaskyard/former_flows.h"
+#include "damaskyard/stale_flows.h"
 
 #include <string.h>
 
 #include <glib.h>
 
-struct dy_former_flows {
+struct dy_stale_flows {
 	const dy_flow_holder_t *holder;
 	GHashTable *seen; /* of all that were taken, by flow */
 	GQueue waiting;	  /* of dy_ledger_flow_t, which seen owns */
 };
 
-dy_former_flows_t *dy_former_flows_create(const dy_flow_holder_t *holder)
+dy_stale_flows_t *dy_stale_flows_create(const dy_flow_holder_t *holder)
 {
-	dy_former_flows_t *former = g_new0(dy_former_flows_t, 1);
+	dy_stale_flows_t *former = g_new0(dy_stale_flows_t, 1);
 
 	former->holder = holder;
 	former->seen = g_hash_table_new_full(
@@ -21,7 +21,7 @@
 	return former;
 }
 
-void dy_former_flows_destroy(dy_former_flows_t *former)
+void dy_stale_flows_destroy(dy_stale_flows_t *former)
 {
 	if (!former)
 		return;
@@ -39,15 +39,16 @@
 	return age_ms <= part->good_ms;
 }
 
-void dy_former_flows_take(dy_former_flows_t *former,
-			  const dy_ledger_part_t *part, uint64_t time_ms)
+void dy_stale_flows_add_part(dy_stale_flows_t *former,
+			     const dy_ledger_part_t *part, uint64_t time_ms)
 {
 	dy_ledger_flow_t *flow;
 	unsigned i;
 
 	if (!is_believed(part, time_ms) ||
-	    dy_flow_holder_tell_past(former->holder, part->target,
-				     part->born_ms) != DY_TARGET_OVER)
+	    dy_flow_holder_instance_state(former->holder, part->target,
+					  part->born_ms) !=
+		    DY_TARGET_INSTANCE_ENDED)
 		return;
 	for (i = 0; i < part->flows.flows_len; i++) {
 		if (g_hash_table_contains(former->seen,
@@ -59,13 +60,13 @@
 	}
 }
 
-int dy_former_flows_next(dy_former_flows_t *former, dy_ledger_flow_t *flow)
+int dy_stale_flows_pop(dy_stale_flows_t *former, dy_ledger_flow_t *flow)
 {
 	const dy_ledger_flow_t *next;
 
 	while ((next = g_queue_pop_head(&former->waiting))) {
 		/* Its caller may have opened it anew. */
-		if (dy_flow_holder_has(former->holder, &next->flow))
+		if (dy_flow_holder_has_flow(former->holder, &next->flow))
 			continue;
 		*flow = *next;
 		return 1;
@@ -73,7 +74,7 @@
 	return 0;
 }
 
-unsigned dy_former_flows_count(const dy_former_flows_t *former)
+unsigned dy_stale_flows_count(const dy_stale_flows_t *former)
 {
 	return g_queue_get_length((GQueue *)&former->waiting);
 }
--- a/src/process/agent/agent_answer.c
+++ b/src/process/agent/agent_answer.c
@@ -51,7 +51,7 @@
 	dy_token_t token = { 0 };
 	size_t len;
 
-	if (session->guest || route->session == session->id)
+	if (session->transient || route->session == session->id)
 		return 0;
 	token.service = agent->service.id;
 	token.agent = agent->id;
--- a/src/process/agent/agent_call.c
+++ b/src/process/agent/agent_call.c
@@ -51,7 +51,7 @@
 
 static void drop_guest(dy_agent_t *agent, dy_session_t *session)
 {
-	if (session->guest && dy_list_empty(&session->calls))
+	if (session->transient && dy_list_empty(&session->calls))
 		dy_sessions_remove(agent->sessions, session);
 }
 
@@ -192,8 +192,8 @@
 	dy_session_t *session = call->session;
 	size_t len;
 
-	dy_assert(session->place == DY_SESSION_HERE ||
-		  session->place == DY_SESSION_CLOSING);
+	dy_assert(session->state == DY_SESSION_LOCAL ||
+		  session->state == DY_SESSION_CLOSING);
 	dy_assert(call->stage == DY_STAGE_CLAIMED && !call->has_link);
 	dy_assert(!agent->links[index].call);
 	call->has_link = 1;
--- a/src/process/agent/agent_forward.c
+++ b/src/process/agent/agent_forward.c
@@ -138,7 +138,7 @@
 				  uint64_t id)
 {
 	const dy_rpc_auth_t *credential = &arrival->message.credential;
-	uint64_t caller = dy_sessions_caller(
+	uint64_t caller = dy_sessions_caller_hash(
 		agent->sessions, &arrival->route.caller, credential);
 	dy_reason_t reason = why_not_open(agent);
 	uint32_t retry_ms;
@@ -221,7 +221,7 @@
 	}
 	if (take_copy(agent, session, arrival))
 		return;
-	if (session->place == DY_SESSION_CLOSING) {
+	if (session->state == DY_SESSION_CLOSING) {
 		agent_count(agent, EVENT_SESSION_CLOSING);
 		return;
 	}
@@ -262,8 +262,8 @@
 static void serve_session(dy_agent_t *agent, dy_session_t *session,
 			  const arrival_t *arrival)
 {
-	if (session->place == DY_SESSION_HERE ||
-	    session->place == DY_SESSION_CLOSING)
+	if (session->state == DY_SESSION_LOCAL ||
+	    session->state == DY_SESSION_CLOSING)
 		serve(agent, session, arrival);
 	else if (agent_leave_relay(agent, session, &arrival->route,
 				   arrival->forward))
@@ -301,12 +301,12 @@
 		session = open_session(agent, arrival, id);
 		if (!session)
 			return;
-		session->guest = 1;
+		session->transient = 1;
 	}
 	serve(agent, session, arrival);
 	/* It has gone already if its call has ended. */
 	session = dy_sessions_find(agent->sessions, id);
-	if (session && session->guest && dy_list_empty(&session->calls))
+	if (session && session->transient && dy_list_empty(&session->calls))
 		dy_sessions_remove(agent->sessions, session);
 }
 
--- a/src/process/agent/agent_leave.c
+++ b/src/process/agent/agent_leave.c
@@ -88,7 +88,7 @@
 
 static void lose_session(dy_agent_t *agent, dy_session_t *session)
 {
-	session->place = DY_SESSION_LOST;
+	session->state = DY_SESSION_LOST;
 	agent_note(agent, EVENT_SESSIONS_LOST, "session=%016lx",
 		   (unsigned long)session->id);
 }
@@ -99,7 +99,7 @@
 	uint64_t incarnation;
 
 	if (!dy_list_empty(&session->calls)) {
-		session->place = DY_SESSION_CLOSING;
+		session->state = DY_SESSION_CLOSING;
 		return;
 	}
 	incarnation = dy_successor_pick(session->id, agent->successors,
@@ -109,7 +109,7 @@
 		lose_session(agent, session);
 		return;
 	}
-	session->place = DY_SESSION_MOVED;
+	session->state = DY_SESSION_MOVED;
 	agent_count(agent, EVENT_SESSIONS_MOVED);
 	turn->outstanding++;
 	g_ptr_array_add(turn->due, session);
@@ -130,14 +130,14 @@
 			session,
 			agent_member_follow(agent, session->id,
 					    session->successor_incarnation));
-	return session->tries < TRIES_MAX ? 0 : -1;
+	return session->handover_attempts < TRIES_MAX ? 0 : -1;
 }
 
 static void send_again(turn_t *turn, dy_session_t *session)
 {
 	uint64_t now_ms = agent_now_ms(turn->agent);
 
-	if (now_ms - session->sent_ms < RESEND_MS)
+	if (now_ms - session->handover_sent_ms < RESEND_MS)
 		return;
 	if (follow_successor(turn->agent, session))
 		lose_session(turn->agent, session);
@@ -149,7 +149,7 @@
 {
 	turn_t *turn = context;
 
-	if (session->place == DY_SESSION_MOVED)
+	if (session->state == DY_SESSION_MOVED)
 		turn->outstanding++;
 }
 
@@ -157,19 +157,19 @@
 {
 	turn_t *turn = context;
 
-	if (session->guest) {
+	if (session->transient) {
 		turn->unsettled++;
 		return;
 	}
-	if (session->place == DY_SESSION_HERE ||
-	    session->place == DY_SESSION_CLOSING) {
+	if (session->state == DY_SESSION_LOCAL ||
+	    session->state == DY_SESSION_CLOSING) {
 		if (turn->agent->has_successors &&
 		    turn->outstanding < OUTSTANDING_MAX)
 			move_session(turn, session);
-	} else if (session->place == DY_SESSION_MOVED) {
+	} else if (session->state == DY_SESSION_MOVED) {
 		send_again(turn, session);
 	}
-	if (session->place < DY_SESSION_TAKEN)
+	if (session->state < DY_SESSION_ACCEPTED)
 		turn->unsettled++;
 }
 
@@ -197,9 +197,9 @@
 	out->id = session->id;
 	out->body.body_len = xdr_getpos(&xdrs);
 	out->body.body_val = g_memdup2(bytes, out->body.body_len);
-	session->sent_ms = agent_now_ms(agent);
-	if (session->tries < UINT8_MAX)
-		session->tries++;
+	session->handover_sent_ms = agent_now_ms(agent);
+	if (session->handover_attempts < UINT8_MAX)
+		session->handover_attempts++;
 	return out->body.body_len;
 }
 
@@ -352,7 +352,7 @@
 int agent_leave_relay(dy_agent_t *agent, dy_session_t *session,
 		      const route_t *route, const dy_forward_t *forward)
 {
-	if (session->place == DY_SESSION_LOST)
+	if (session->state == DY_SESSION_LOST)
 		return -1;
 	return relay_to(agent,
 			agent_member_follow(agent, session->id,
@@ -374,7 +374,7 @@
 {
 	dy_session_t *session = dy_sessions_find(agent->sessions, id);
 
-	if (!session || session->place != DY_SESSION_MOVED ||
+	if (!session || session->state != DY_SESSION_MOVED ||
 	    session->successor != result->agent ||
 	    session->successor_incarnation != result->incarnation)
 		return NULL;
@@ -397,7 +397,7 @@
 		session = find_moved(agent, result->sessions.sessions_val[i],
 				     result);
 		if (session)
-			session->place = DY_SESSION_TAKEN;
+			session->state = DY_SESSION_ACCEPTED;
 	}
 	for (i = 0; i < result->refused.refused_len; i++) {
 		session = find_moved(agent, result->refused.refused_val[i],
--- a/src/process/control/control_ledger.c
+++ b/src/process/control/control_ledger.c
@@ -174,7 +174,7 @@
 		control_count_malformed(ledger->control, message->procedure);
 		return;
 	}
-	if (dy_flow_ledger_take(ledger->lists, &part))
+	if (dy_flow_ledger_add_part(ledger->lists, &part))
 		ledger->dirty = 1;
 	xdr_free((xdrproc_t)xdr_dy_ledger_part_t, (char *)&part);
 }
@@ -214,7 +214,8 @@
 	}
 	dy_address_load(&address, from);
 	dy_address_write(&address, &ledger->asker);
-	if (!dy_flow_ledger_each(ledger->lists, ask.agent, give_part, ledger))
+	if (!dy_flow_ledger_each_part(ledger->lists, ask.agent, give_part,
+				      ledger))
 		give_nothing(ledger, ask.agent);
 	xdr_free((xdrproc_t)xdr_dy_ledger_ask_t, (char *)&ask);
 }
--- a/src/process/flow/agent_ledger.c
+++ b/src/process/flow/agent_ledger.c
@@ -3,7 +3,7 @@
 #include <string.h>
 
 #include "damaskyard/flow_ledger.h"
-#include "damaskyard/former_flows.h"
+#include "damaskyard/stale_flows.h"
 #include "damaskyard/log.h"
 
 /*
@@ -41,7 +41,7 @@
 	uint64_t ask_at_ms;
 	uint64_t ask_again_ms;
 	unsigned answered; /* a bit for each control of the settings */
-	dy_former_flows_t *former;
+	dy_stale_flows_t *former;
 	uint64_t *resets;
 };
 
@@ -68,7 +68,7 @@
 	ledger->context = context;
 	ledger->list = (uint32_t)g_get_real_time();
 	ledger->next_list_ms = now_ms(ledger) + LIST_MS;
-	ledger->former = dy_former_flows_create(holder);
+	ledger->former = dy_stale_flows_create(holder);
 	ledger->resets =
 		dy_metrics_counter(member->metrics, "former_flows_reset");
 	return ledger;
@@ -78,7 +78,7 @@
 {
 	if (!ledger)
 		return;
-	dy_former_flows_destroy(ledger->former);
+	dy_stale_flows_destroy(ledger->former);
 	g_free(ledger);
 }
 
@@ -121,8 +121,8 @@
 	dy_ledger_part_t part = { 0 };
 	uint32_t pause_ms;
 
-	dy_flow_holder_each_steady(ledger->holder, now_ms(ledger), add_flow,
-				   flows);
+	dy_flow_holder_each_low_rate(ledger->holder, now_ms(ledger), add_flow,
+				     flows);
 	part.agent = ledger->member->settings.name;
 	part.target = (char *)target->id;
 	part.born_ms = target->born_ms;
@@ -132,7 +132,7 @@
 	pause_ms =
 		MAX(LIST_MS, part.parts * count_copies(ledger) * LIST_COPY_MS);
 	part.made_ms = time_of_day_ms();
-	part.good_ms = dy_flow_ledger_believed_ms(pause_ms);
+	part.good_ms = dy_flow_ledger_ttl_ms(pause_ms);
 	for (; part.part < part.parts; part.part++) {
 		part.flows.flows_val = &g_array_index(
 			flows, dy_ledger_flow_t, part.part * DY_LEDGER_FLOWS);
@@ -182,8 +182,8 @@
 	if (ledger->member->settings.first_start ||
 	    !ledger->member->subscriber ||
 	    !dy_subscriber_incarnation(ledger->member->subscriber) ||
-	    dy_flow_holder_tell_past(ledger->holder, "", 0) ==
-		    DY_TARGET_NOT_KNOWN)
+	    dy_flow_holder_instance_state(ledger->holder, "", 0) ==
+		    DY_TARGET_INSTANCE_UNKNOWN)
 		return;
 	if (!ledger->ask_from_ms) {
 		ledger->ask_from_ms = now;
@@ -215,7 +215,7 @@
 			    sizeof(part)))
 		return;
 	note_answered(ledger, from);
-	dy_former_flows_take(ledger->former, &part, time_of_day_ms());
+	dy_stale_flows_add_part(ledger->former, &part, time_of_day_ms());
 	xdr_free((xdrproc_t)xdr_dy_ledger_part_t, (char *)&part);
 }
 
@@ -224,7 +224,7 @@
 	dy_ledger_flow_t flow;
 	unsigned count = 0;
 
-	while (count < RESETS && dy_former_flows_next(ledger->former, &flow)) {
+	while (count < RESETS && dy_stale_flows_pop(ledger->former, &flow)) {
 		ledger->reset(ledger->context, &flow.flow, flow.ack);
 		count++;
 	}
@@ -232,7 +232,7 @@
 		return;
 	*ledger->resets += count;
 	dy_log_event(DY_LOG_INFO, "former_flows_reset", "count=%u left=%u",
-		     count, dy_former_flows_count(ledger->former));
+		     count, dy_stale_flows_count(ledger->former));
 }
 
 void agent_ledger_tick(agent_ledger_t *ledger)
--- a/src/process/flow/cmd_flow_agent.c
+++ b/src/process/flow/cmd_flow_agent.c
@@ -135,7 +135,7 @@
  */
 static void name_service(flow_agent_t *agent)
 {
-	if (!dy_flow_holder_is_empty(agent->holder))
+	if (!dy_flow_holder_is_target_gone(agent->holder))
 		agent->member.info.service = agent->member.settings.service;
 }
 
@@ -180,11 +180,11 @@
 		++*agent->malformed;
 		return;
 	}
-	bounced = !!(packet.marks & DY_PACKET_BOUNCED);
+	bounced = !!(packet.flags & DY_PACKET_BOUNCED);
 	if (bounced)
 		platform_packet_load(bytes, len, PLATFORM_FROM_CALLER, &packet);
-	dy_flow_holder_from_target(agent->holder, &packet, bytes, len,
-				   now_ms(agent));
+	dy_flow_holder_receive_packet(agent->holder, &packet, bytes, len,
+				      now_ms(agent));
 }
 
 /* Nothing is sent to the address that answers go out from. */
@@ -221,7 +221,8 @@
 	}
 	if (packet.data_bytes)
 		platform_packet_find_request((uint8_t *)packet_room, &packet);
-	dy_flow_holder_take(agent->holder, &forward, &packet, now_ms(agent));
+	dy_flow_holder_receive_forward(agent->holder, &forward, &packet,
+				       now_ms(agent));
 }
 
 static void receive_ask(flow_agent_t *agent, const dy_sealed_t *message)
@@ -229,8 +230,8 @@
 	dy_flow_ask_t ask = { 0 };
 
 	if (dy_sealed_fill(message, (xdrproc_t)xdr_dy_flow_ask_t, &ask))
-		dy_flow_holder_asked(agent->holder, &ask.balancer,
-				     now_ms(agent));
+		dy_flow_holder_subscribe(agent->holder, &ask.balancer,
+					 now_ms(agent));
 	else
 		++*agent->malformed;
 }
@@ -275,10 +276,10 @@
 		return;
 	}
 	dy_http_answer_status(
-		exchange,
-		dy_flow_holder_notice(agent->holder, &notice, now_ms(agent))
-			? 200
-			: 400);
+		exchange, dy_flow_holder_receive_notice(agent->holder, &notice,
+							now_ms(agent))
+				  ? 200
+				  : 400);
 }
 
 static void on_request(void *context, dy_http_exchange_t *exchange,
@@ -293,7 +294,7 @@
 		take_notice(agent, exchange, request, id);
 		return;
 	case PLATFORM_CALL_LEAVE:
-		dy_flow_holder_leave(agent->holder, id);
+		dy_flow_holder_target_left(agent->holder, id);
 		dy_http_answer_status(exchange, 200);
 		return;
 	default:
@@ -314,12 +315,12 @@
 	if (!agent->member.subscriber)
 		return;
 	/* With its target gone it holds no flow, and nobody need search it. */
-	dy_subscriber_set_state(
-		agent->member.subscriber,
-		dy_flow_holder_is_over(agent->holder, agent->stopping_ms)
-			? DY_MEMBER_LEFT
-			: DY_MEMBER_DRAINING,
-		NULL, 0);
+	dy_subscriber_set_state(agent->member.subscriber,
+				dy_flow_holder_is_target_inactive(
+					agent->holder, agent->stopping_ms)
+					? DY_MEMBER_LEFT
+					: DY_MEMBER_DRAINING,
+				NULL, 0);
 }
 
 static void on_refused(void *context, dy_status_t status)
@@ -356,7 +357,7 @@
 
 	name_service(agent);
 	dy_log_event(DY_LOG_INFO, "joining", "target_there=%d",
-		     !dy_flow_holder_is_empty(agent->holder));
+		     !dy_flow_holder_is_target_gone(agent->holder));
 	flow_member_subscribe(member, DY_MEMBER_AGENT, &subscriber_callbacks);
 	dy_subscriber_set_state(member->subscriber, member_state(agent), NULL,
 				0);
@@ -366,7 +367,7 @@
 {
 	flow_agent_t *agent = context;
 
-	dy_flow_holder_checked(agent->holder, state, now_ms(agent));
+	dy_flow_holder_port_checked(agent->holder, state, now_ms(agent));
 	if (!agent->member.subscriber && !agent->stopping_ms)
 		subscribe(agent);
 }
--- a/src/process/flow/cmd_flow_balancer.c
+++ b/src/process/flow/cmd_flow_balancer.c
@@ -129,8 +129,8 @@
 		++*balancer->unready_packets;
 		return;
 	}
-	dy_flow_router_take(balancer->router, &packet, bytes, len,
-			    balancer->packet_ms);
+	dy_flow_router_receive_packet(balancer->router, &packet, bytes, len,
+				      balancer->packet_ms);
 }
 
 static void receive_held(flow_balancer_t *balancer, const dy_sealed_t *message)
@@ -138,7 +138,8 @@
 	dy_flow_held_t held = { 0 };
 
 	if (dy_sealed_fill(message, (xdrproc_t)xdr_dy_flow_held_t, &held))
-		dy_flow_router_held(balancer->router, &held, now_ms(balancer));
+		dy_flow_router_receive_held(balancer->router, &held,
+					    now_ms(balancer));
 }
 
 static void receive_nowhere(flow_balancer_t *balancer,
@@ -154,8 +155,8 @@
 	    platform_packet_load((uint8_t *)room, nowhere.packet.packet_len,
 				 PLATFORM_FROM_CALLER, &packet))
 		return;
-	dy_flow_router_nowhere(balancer->router, &nowhere, &packet,
-			       now_ms(balancer));
+	dy_flow_router_receive_nowhere(balancer->router, &nowhere, &packet,
+				       now_ms(balancer));
 }
 
 static void receive_report(flow_balancer_t *balancer,
@@ -164,8 +165,8 @@
 	dy_flow_report_t report = { 0 };
 
 	if (dy_sealed_fill(message, (xdrproc_t)xdr_dy_flow_report_t, &report))
-		dy_flow_router_report(balancer->router, &report,
-				      now_ms(balancer));
+		dy_flow_router_receive_report(balancer->router, &report,
+					      now_ms(balancer));
 }
 
 static void on_message(void *context, uint8_t *bytes, size_t len,
--- a/tests/fake_holder.c
+++ b/tests/fake_holder.c
@@ -107,8 +107,8 @@
 {
 	dy_target_notice_t made = fake_holder_notice(sequence, state);
 
-	return dy_flow_holder_notice(fake_holder.holder, &made,
-				     fake_holder.now_ms);
+	return dy_flow_holder_receive_notice(fake_holder.holder, &made,
+					     fake_holder.now_ms);
 }
 
 void fake_holder_create(void)
@@ -149,10 +149,10 @@
 	made.flow.caller_port = 1024 + flow;
 	made.flow.entry_ip = 0xc6120001u;
 	made.flow.entry_port = 443;
-	made.marks = marks;
+	made.flags = marks;
 	made.seq = seq;
 	made.ack = ack;
-	made.copy = marks & DY_PACKET_SYN ? ack : 0;
+	made.retransmits = marks & DY_PACKET_SYN ? ack : 0;
 	made.data_bytes = data;
 	return made;
 }
@@ -176,8 +176,8 @@
 	forward.tries.tries_len = tries;
 	forward.packet.packet_val = (char *)fake_holder.bytes;
 	forward.packet.packet_len = sizeof(fake_holder.bytes);
-	dy_flow_holder_take(fake_holder.holder, &forward, made,
-			    fake_holder.now_ms);
+	dy_flow_holder_receive_forward(fake_holder.holder, &forward, made,
+				       fake_holder.now_ms);
 }
 
 void fake_holder_from_caller(unsigned flow, unsigned marks, uint32_t ack,
@@ -193,9 +193,9 @@
 {
 	dy_packet_t made = fake_holder_packet(flow, marks, seq, 2, data);
 
-	dy_flow_holder_from_target(fake_holder.holder, &made, fake_holder.bytes,
-				   sizeof(fake_holder.bytes),
-				   fake_holder.now_ms);
+	dy_flow_holder_receive_packet(
+		fake_holder.holder, &made, fake_holder.bytes,
+		sizeof(fake_holder.bytes), fake_holder.now_ms);
 }
 
 void fake_holder_give_back(unsigned flow, unsigned marks, uint32_t note)
@@ -203,10 +203,10 @@
 	dy_packet_t made =
 		fake_holder_packet(flow, marks | DY_PACKET_BOUNCED, 1, 2, 0);
 
-	made.note = note;
-	dy_flow_holder_from_target(fake_holder.holder, &made, fake_holder.bytes,
-				   sizeof(fake_holder.bytes),
-				   fake_holder.now_ms);
+	made.tag = note;
+	dy_flow_holder_receive_packet(
+		fake_holder.holder, &made, fake_holder.bytes,
+		sizeof(fake_holder.bytes), fake_holder.now_ms);
 }
 
 void fake_holder_open_flow(unsigned flow)
--- a/tests/fake_router.c
+++ b/tests/fake_router.c
@@ -130,7 +130,7 @@
 	made.flow.caller_port = 1024 + flow;
 	made.flow.entry_ip = FAKE_ENTRY_IP;
 	made.flow.entry_port = FAKE_ENTRY_PORT;
-	made.marks = marks;
+	made.flags = marks;
 	made.ack = ack;
 	return made;
 }
@@ -139,8 +139,9 @@
 {
 	dy_packet_t made = fake_router_packet(flow, marks, ack);
 
-	dy_flow_router_take(fake_router.router, &made, fake_router.bytes,
-			    sizeof(fake_router.bytes), fake_router.now_ms);
+	dy_flow_router_receive_packet(
+		fake_router.router, &made, fake_router.bytes,
+		sizeof(fake_router.bytes), fake_router.now_ms);
 }
 
 void fake_router_tell_held(unsigned flow, const dy_address_t *by, int open)
@@ -151,7 +152,8 @@
 	held.agent = *by;
 	held.open = open;
 	held.load.slots = 4;
-	dy_flow_router_held(fake_router.router, &held, fake_router.now_ms);
+	dy_flow_router_receive_held(fake_router.router, &held,
+				    fake_router.now_ms);
 }
 
 void fake_router_tell_nowhere(unsigned flow, unsigned marks, int certain)
@@ -170,8 +172,8 @@
 	nowhere.certain = certain;
 	nowhere.packet.packet_val = (char *)fake_router.bytes;
 	nowhere.packet.packet_len = sizeof(fake_router.bytes);
-	dy_flow_router_nowhere(fake_router.router, &nowhere, &made,
-			       fake_router.now_ms);
+	dy_flow_router_receive_nowhere(fake_router.router, &nowhere, &made,
+				       fake_router.now_ms);
 }
 
 void fake_router_report(unsigned number)
@@ -187,5 +189,6 @@
 	message.load.slots = 4;
 	message.load.accepts = 1;
 	message.heard = heard;
-	dy_flow_router_report(fake_router.router, &message, fake_router.now_ms);
+	dy_flow_router_receive_report(fake_router.router, &message,
+				      fake_router.now_ms);
 }
--- a/tests/test_cold_limit.c
+++ b/tests/test_cold_limit.c
@@ -20,7 +20,7 @@
 			rand, 0, 2 * (gint32)mean_gap_ms + 1);
 		if (!dy_cold_limit_allows(&limit, now_ms))
 			continue;
-		dy_cold_limit_note(&limit, now_ms);
+		dy_cold_limit_record(&limit, now_ms);
 		times[count++] = now_ms;
 	}
 	dy_cold_limit_clear(&limit);
@@ -73,14 +73,14 @@
 
 	dy_cold_limit_init(&limit);
 	for (i = 0; i < 10; i++)
-		dy_cold_limit_note(&limit, 5000);
+		dy_cold_limit_record(&limit, 5000);
 	dy_cold_limit_set(&limit, 10);
 	ck_assert(!dy_cold_limit_allows(&limit, 5999));
 	dy_cold_limit_set(&limit, 11);
 	ck_assert(dy_cold_limit_allows(&limit, 5999));
 	dy_cold_limit_set(&limit, 5);
 	ck_assert(!dy_cold_limit_allows(&limit, 5999));
-	ck_assert(dy_cold_limit_allows(&limit, 5000 + DY_COLD_SPAN_MS));
+	ck_assert(dy_cold_limit_allows(&limit, 5000 + DY_COLD_WINDOW_MS));
 	dy_cold_limit_clear(&limit);
 }
 END_TEST
--- a/tests/test_flow_burst.c
+++ b/tests/test_flow_burst.c
@@ -64,7 +64,7 @@
 	packet.flow.caller_ip = 1;
 	packet.flow.caller_port =
 		(uint16_t)((caller - world.callers) * TRIES + caller->tries);
-	packet.marks = marks;
+	packet.flags = marks;
 	packet.data_bytes = data;
 	return packet;
 }
@@ -84,7 +84,8 @@
 	forward.tries.tries_len = 1;
 	forward.packet.packet_val = bytes;
 	forward.packet.packet_len = sizeof(bytes);
-	dy_flow_holder_take(world.holder, &forward, &packet, world.now_ms);
+	dy_flow_holder_receive_forward(world.holder, &forward, &packet,
+				       world.now_ms);
 }
 
 static void send_from_target(const caller_t *caller, unsigned marks,
@@ -93,8 +94,8 @@
 	dy_packet_t packet = packet_of(caller, marks, data);
 	uint8_t bytes[PACKET_BYTES] = { 0 };
 
-	dy_flow_holder_from_target(world.holder, &packet, bytes, sizeof(bytes),
-				   world.now_ms);
+	dy_flow_holder_receive_packet(world.holder, &packet, bytes,
+				      sizeof(bytes), world.now_ms);
 }
 
 /* The try ended and did not run. */
@@ -253,7 +254,8 @@
 	g_strlcpy(notice.id, "t1", sizeof(notice.id));
 	g_strlcpy(notice.service, "readings", sizeof(notice.service));
 	dy_address_set_ipv4(&notice.address, 1, 8080);
-	ck_assert(dy_flow_holder_notice(world.holder, &notice, world.now_ms));
+	ck_assert(dy_flow_holder_receive_notice(world.holder, &notice,
+						world.now_ms));
 }
 
 static dy_metrics_t *begin(void)
--- a/tests/test_flow_holder.c
+++ b/tests/test_flow_holder.c
@@ -79,7 +79,8 @@
 	ck_assert(fake_holder_announce(2, DY_TARGET_READY));
 	g_strlcpy(next.id, "t2", sizeof(next.id));
 	next.born_ms = 9000;
-	dy_flow_holder_notice(fake_holder.holder, &next, fake_holder.now_ms);
+	dy_flow_holder_receive_notice(fake_holder.holder, &next,
+				      fake_holder.now_ms);
 	ck_assert_uint_eq(dy_flow_holder_count(fake_holder.holder), 0);
 	fake_holder.given = 0;
 	fake_holder_from_caller(1, DY_PACKET_ACK, 501, 0);
@@ -98,7 +99,7 @@
 {
 	fake_holder_create();
 	fake_holder_announce(40, DY_TARGET_READY);
-	fake_holder.now_ms += DY_TARGET_SILENT_MS + 1;
+	fake_holder.now_ms += DY_NOTICE_TIMEOUT_MS + 1;
 	dy_flow_holder_tick(fake_holder.holder, fake_holder.now_ms);
 	ck_assert(!dy_flow_holder_accepts(fake_holder.holder));
 	fake_holder_from_caller(1, DY_PACKET_ACK, 501, 0);
@@ -124,8 +125,8 @@
 {
 	unsigned count = 0;
 
-	dy_flow_holder_each_steady(fake_holder.holder, fake_holder.now_ms,
-				   on_steady, &count);
+	dy_flow_holder_each_low_rate(fake_holder.holder, fake_holder.now_ms,
+				     on_steady, &count);
 	return count;
 }
 
@@ -140,11 +141,12 @@
 	fake_holder_open_flow(2);
 	fake_holder_from_caller(1, DY_PACKET_ACK, 502, 90);
 	ck_assert_uint_eq(count_steady(), 0);
-	fake_holder.now_ms += DY_STEADY_MS;
-	fake_holder_from_caller(1, DY_PACKET_ACK, 501 + DY_STEADY_BYTES, 90);
+	fake_holder.now_ms += DY_LOW_RATE_MIN_AGE_MS;
+	fake_holder_from_caller(1, DY_PACKET_ACK, 501 + DY_LOW_RATE_BURST_BYTES,
+				90);
 	fake_holder_from_caller(
 		2, DY_PACKET_ACK,
-		502 + DY_STEADY_BYTES + DY_STEADY_BYTES_A_SECOND, 90);
+		502 + DY_LOW_RATE_BURST_BYTES + DY_LOW_RATE_BYTES_PER_S, 90);
 	ck_assert_uint_eq(count_steady(), 1);
 	ck_assert_uint_eq(steady_port, 1025);
 	fake_holder_end();
@@ -229,7 +231,7 @@
 	fake_holder_from_caller(1, DY_PACKET_SYN, 0, 0);
 	dy_flow_holder_tick(fake_holder.holder, fake_holder.now_ms);
 	ck_assert_uint_eq(fake_holder.reports, 1);
-	fake_holder.now_ms += DY_REPORTED_MS + 1;
+	fake_holder.now_ms += DY_REPORT_TTL_MS + 1;
 	dy_flow_holder_tick(fake_holder.holder, fake_holder.now_ms);
 	ck_assert_uint_eq(fake_holder.reports, 1);
 	fake_holder_end();
@@ -241,17 +243,17 @@
 START_TEST(stopping_agent_takes_no_opening)
 {
 	fake_holder_begin();
-	ck_assert(!dy_flow_holder_is_over(fake_holder.holder,
-					  fake_holder.now_ms));
+	ck_assert(!dy_flow_holder_is_target_inactive(fake_holder.holder,
+						     fake_holder.now_ms));
 	dy_flow_holder_stop(fake_holder.holder);
 	fake_holder_from_caller(1, DY_PACKET_SYN, 0, 0);
 	ck_assert_uint_eq(fake_holder.passed, 1);
-	dy_flow_holder_leave(fake_holder.holder, "another");
-	ck_assert(!dy_flow_holder_is_over(fake_holder.holder,
-					  fake_holder.now_ms));
-	dy_flow_holder_leave(fake_holder.holder, "t1");
-	ck_assert(
-		dy_flow_holder_is_over(fake_holder.holder, fake_holder.now_ms));
+	dy_flow_holder_target_left(fake_holder.holder, "another");
+	ck_assert(!dy_flow_holder_is_target_inactive(fake_holder.holder,
+						     fake_holder.now_ms));
+	dy_flow_holder_target_left(fake_holder.holder, "t1");
+	ck_assert(dy_flow_holder_is_target_inactive(fake_holder.holder,
+						    fake_holder.now_ms));
 	fake_holder_end();
 }
 END_TEST
@@ -277,8 +279,8 @@
 	forward.tries.tries_len = 2;
 	forward.packet.packet_val = (char *)fake_holder.bytes;
 	forward.packet.packet_len = sizeof(fake_holder.bytes);
-	dy_flow_holder_take(fake_holder.holder, &forward, &made,
-			    fake_holder.now_ms);
+	dy_flow_holder_receive_forward(fake_holder.holder, &forward, &made,
+				       fake_holder.now_ms);
 	dy_flow_holder_tick(fake_holder.holder, fake_holder.now_ms);
 	ck_assert_uint_eq(fake_holder.report.heard, heard);
 	fake_holder_from_caller(1, DY_PACKET_ACK, 501, 0);
@@ -303,8 +305,8 @@
 	fake_holder.now_ms += 20;
 	g_strlcpy(notice.id, "t2", sizeof(notice.id));
 	notice.born_ms += 1490;
-	ck_assert(dy_flow_holder_notice(fake_holder.holder, &notice,
-					fake_holder.now_ms));
+	ck_assert(dy_flow_holder_receive_notice(fake_holder.holder, &notice,
+						fake_holder.now_ms));
 	fake_holder.given = 0;
 	fake_holder_from_caller(2, DY_PACKET_ACK, 501, 90);
 	ck_assert_uint_eq(fake_holder.given, 1);
@@ -328,8 +330,8 @@
 	fake_holder.now_ms += 20;
 	g_strlcpy(notice.id, "t2", sizeof(notice.id));
 	notice.born_ms += 10;
-	ck_assert(dy_flow_holder_notice(fake_holder.holder, &notice,
-					fake_holder.now_ms));
+	ck_assert(dy_flow_holder_receive_notice(fake_holder.holder, &notice,
+						fake_holder.now_ms));
 	fake_holder_from_caller(1, DY_PACKET_ACK, 501, 90);
 	fake_holder_give_back(1, DY_PACKET_ACK, fake_holder.note);
 	ck_assert_uint_eq(fake_holder.passed, 1);
--- a/tests/test_flow_ledger.c
+++ b/tests/test_flow_ledger.c
@@ -31,7 +31,7 @@
 static unsigned give(const dy_flow_ledger_t *ledger, const char *agent)
 {
 	memset(&given, 0, sizeof(given));
-	return dy_flow_ledger_each(ledger, agent, on_part, NULL);
+	return dy_flow_ledger_each_part(ledger, agent, on_part, NULL);
 }
 
 /* A part of so many flows; their ports begin with the list's number. */
@@ -55,7 +55,7 @@
 	part.parts = parts;
 	part.flows.flows_val = flows;
 	part.flows.flows_len = count;
-	return dy_flow_ledger_take(ledger, &part);
+	return dy_flow_ledger_add_part(ledger, &part);
 }
 
 /*
@@ -180,12 +180,12 @@
 	uint32_t pause_ms;
 	uint64_t bytes;
 
-	ck_assert_uint_eq(dy_flow_ledger_believed_ms(4000), 12000);
+	ck_assert_uint_eq(dy_flow_ledger_ttl_ms(4000), 12000);
 	for (pause_ms = 1000; pause_ms <= 100000; pause_ms += 1000) {
-		bytes = DY_STEADY_BYTES +
-			(uint64_t)dy_flow_ledger_believed_ms(pause_ms) *
-				DY_STEADY_BYTES_A_SECOND / 1000;
-		ck_assert_uint_le(bytes, DY_RESET_BYTES);
+		bytes = DY_LOW_RATE_BURST_BYTES +
+			(uint64_t)dy_flow_ledger_ttl_ms(pause_ms) *
+				DY_LOW_RATE_BYTES_PER_S / 1000;
+		ck_assert_uint_le(bytes, DY_RESET_WINDOW_BYTES);
 	}
 }
 END_TEST
--- a/tests/test_flow_openings.c
+++ b/tests/test_flow_openings.c
@@ -126,7 +126,7 @@
 	fake_holder_begin();
 	fill_target();
 	last_choice(50, 0);
-	fake_holder.now_ms += DY_OPENING_WAIT_MS - 1;
+	fake_holder.now_ms += DY_OPENING_WAIT_MAX_MS - 1;
 	dy_flow_holder_tick(fake_holder.holder, fake_holder.now_ms);
 	ck_assert_uint_eq(fake_holder.nowheres, 0);
 	fake_holder.now_ms++;
@@ -215,7 +215,7 @@
 	fake_holder.given = 0;
 	fake_holder_forward_for(FAKE_HOLDER_SERVICE, &made, 1);
 	ck_assert_uint_eq(fake_holder.given, 0);
-	fake_holder.now_ms += DY_OPENING_WAIT_MS;
+	fake_holder.now_ms += DY_OPENING_WAIT_MAX_MS;
 	dy_flow_holder_tick(fake_holder.holder, fake_holder.now_ms);
 	ck_assert_uint_eq(fake_holder.given, 0);
 	ck_assert_uint_eq(fake_holder.nowheres, 1);
@@ -233,8 +233,8 @@
 	fake_holder.cold_openings = 10000;
 	notice = fake_holder_notice(9, DY_TARGET_READY);
 	notice.cold_ms = 5000;
-	ck_assert(dy_flow_holder_notice(fake_holder.holder, &notice,
-					fake_holder.now_ms));
+	ck_assert(dy_flow_holder_receive_notice(fake_holder.holder, &notice,
+						fake_holder.now_ms));
 	burst(0, 10);
 	ck_assert_uint_eq(fake_holder.given, 0);
 	fake_holder.now_ms += 1100;
@@ -294,7 +294,7 @@
 	}
 	last_choice(50, 0);
 	ck_assert_uint_eq(fake_holder.given, FAKE_HOLDER_ROOM);
-	fake_holder.now_ms += DY_FIRST_REQUEST_MS + 1;
+	fake_holder.now_ms += DY_FIRST_REQUEST_TIMEOUT_MS + 1;
 	dy_flow_holder_tick(fake_holder.holder, fake_holder.now_ms);
 	ck_assert_uint_eq(fake_holder.given, FAKE_HOLDER_ROOM + 1);
 	fake_holder_end();
@@ -309,7 +309,7 @@
 {
 	fake_holder_begin();
 	fill_target();
-	fake_holder.now_ms += DY_REQUEST_FORGOTTEN_MS;
+	fake_holder.now_ms += DY_REQUEST_TIMEOUT_MS;
 	ck_assert(fake_holder_announce(2, DY_TARGET_READY));
 	dy_flow_holder_tick(fake_holder.holder, fake_holder.now_ms);
 	ck_assert_uint_eq(fake_holder.report.load.busy, 0);
--- a/tests/test_flow_presence.c
+++ b/tests/test_flow_presence.c
@@ -52,10 +52,10 @@
 	fake_holder_begin();
 	g_strlcpy(later.id, "t2", sizeof(later.id));
 	later.born_ms = 6000;
-	ck_assert(dy_flow_holder_notice(fake_holder.holder, &later,
-					fake_holder.now_ms));
-	ck_assert(dy_flow_holder_notice(fake_holder.holder, &held_up,
-					fake_holder.now_ms));
+	ck_assert(dy_flow_holder_receive_notice(fake_holder.holder, &later,
+						fake_holder.now_ms));
+	ck_assert(dy_flow_holder_receive_notice(fake_holder.holder, &held_up,
+						fake_holder.now_ms));
 	ck_assert(!dy_flow_holder_accepts(fake_holder.holder));
 	fake_holder_end();
 }
@@ -71,11 +71,13 @@
 	fake_holder_announce(2, DY_TARGET_DRAINING);
 	g_strlcpy(later.id, "t2", sizeof(later.id));
 	later.born_ms = 4000;
-	dy_flow_holder_notice(fake_holder.holder, &later, fake_holder.now_ms);
+	dy_flow_holder_receive_notice(fake_holder.holder, &later,
+				      fake_holder.now_ms);
 	ck_assert(!dy_flow_holder_accepts(fake_holder.holder));
 	fake_holder.now_ms += 3001;
 	later.sequence = 4;
-	dy_flow_holder_notice(fake_holder.holder, &later, fake_holder.now_ms);
+	dy_flow_holder_receive_notice(fake_holder.holder, &later,
+				      fake_holder.now_ms);
 	ck_assert(dy_flow_holder_accepts(fake_holder.holder));
 	fake_holder_end();
 }
@@ -88,12 +90,12 @@
 
 	fake_holder_begin();
 	g_strlcpy(other.service, "maps", sizeof(other.service));
-	ck_assert(!dy_flow_holder_notice(fake_holder.holder, &other,
-					 fake_holder.now_ms));
+	ck_assert(!dy_flow_holder_receive_notice(fake_holder.holder, &other,
+						 fake_holder.now_ms));
 	other = fake_holder_notice(2, DY_TARGET_READY);
 	other.address.port++;
-	ck_assert(!dy_flow_holder_notice(fake_holder.holder, &other,
-					 fake_holder.now_ms));
+	ck_assert(!dy_flow_holder_receive_notice(fake_holder.holder, &other,
+						 fake_holder.now_ms));
 	ck_assert_uint_eq(
 		dy_metrics_value(fake_holder.metrics, "notices_refused"), 2);
 	fake_holder_end();
@@ -103,13 +105,14 @@
 /* A tick after the target has owed an answer for too long. */
 static void owe(void)
 {
-	fake_holder.now_ms += DY_TARGET_OWING_MS;
+	fake_holder.now_ms += DY_TARGET_RESPONSE_TIMEOUT_MS;
 	dy_flow_holder_tick(fake_holder.holder, fake_holder.now_ms);
 }
 
 static void check_says(dy_port_state_t state)
 {
-	dy_flow_holder_checked(fake_holder.holder, state, fake_holder.now_ms);
+	dy_flow_holder_port_checked(fake_holder.holder, state,
+				    fake_holder.now_ms);
 }
 
 /*
@@ -132,7 +135,7 @@
 	ck_assert_uint_eq(fake_holder.checks, 3);
 	check_says(DY_PORT_REFUSED);
 	ck_assert(!dy_flow_holder_accepts(fake_holder.holder));
-	ck_assert(dy_flow_holder_is_empty(fake_holder.holder));
+	ck_assert(dy_flow_holder_is_target_gone(fake_holder.holder));
 	ck_assert_uint_eq(dy_flow_holder_count(fake_holder.holder), 0);
 	fake_holder_from_caller(1, DY_PACKET_ACK, 502, 90);
 	ck_assert_uint_eq(fake_holder.passed, 1);
@@ -216,14 +219,14 @@
 START_TEST(agent_without_a_target_is_empty)
 {
 	fake_holder_create();
-	ck_assert(!dy_flow_holder_is_empty(fake_holder.holder));
+	ck_assert(!dy_flow_holder_is_target_gone(fake_holder.holder));
 	check_says(DY_PORT_REFUSED);
-	ck_assert(dy_flow_holder_is_empty(fake_holder.holder));
+	ck_assert(dy_flow_holder_is_target_gone(fake_holder.holder));
 	fake_holder_from_caller(1, DY_PACKET_ACK, 501, 0);
 	ck_assert_uint_eq(fake_holder.given, 0);
 	ck_assert(fake_holder.forward.certain);
 	ck_assert(fake_holder_announce(40, DY_TARGET_READY));
-	ck_assert(!dy_flow_holder_is_empty(fake_holder.holder));
+	ck_assert(!dy_flow_holder_is_target_gone(fake_holder.holder));
 	ck_assert(dy_flow_holder_accepts(fake_holder.holder));
 	fake_holder_from_caller(2, DY_PACKET_ACK, 501, 0);
 	ck_assert_uint_eq(fake_holder.given, 0);
--- a/tests/test_flow_search.c
+++ b/tests/test_flow_search.c
@@ -102,19 +102,19 @@
 	unsigned flow;
 
 	fake_router_begin(2);
-	for (flow = 1; flow <= DY_SEARCHES_AT_ONCE + 5; flow++)
+	for (flow = 1; flow <= DY_SEARCHES_MAX + 5; flow++)
 		fake_router_take(flow, DY_PACKET_ACK, 5);
-	ck_assert_uint_eq(fake_router.forwards, DY_SEARCHES_AT_ONCE);
+	ck_assert_uint_eq(fake_router.forwards, DY_SEARCHES_MAX);
 	ck_assert_uint_eq(
 		dy_metrics_value(fake_router.metrics, "searches_deferred"), 5);
 	fake_router_take(100, DY_PACKET_SYN, 0);
-	ck_assert_uint_eq(fake_router.forwards, DY_SEARCHES_AT_ONCE + 1);
+	ck_assert_uint_eq(fake_router.forwards, DY_SEARCHES_MAX + 1);
 	fake_router_tell_held(1, &fake_router.tries[0], 1);
-	fake_router_take(DY_SEARCHES_AT_ONCE + 1, DY_PACKET_ACK, 5);
-	ck_assert_uint_eq(fake_router.forwards, DY_SEARCHES_AT_ONCE + 2);
+	fake_router_take(DY_SEARCHES_MAX + 1, DY_PACKET_ACK, 5);
+	ck_assert_uint_eq(fake_router.forwards, DY_SEARCHES_MAX + 2);
 	fake_router_tell_nowhere(2, DY_PACKET_ACK, 1);
-	fake_router_take(DY_SEARCHES_AT_ONCE + 2, DY_PACKET_ACK, 5);
-	ck_assert_uint_eq(fake_router.forwards, DY_SEARCHES_AT_ONCE + 3);
+	fake_router_take(DY_SEARCHES_MAX + 2, DY_PACKET_ACK, 5);
+	ck_assert_uint_eq(fake_router.forwards, DY_SEARCHES_MAX + 3);
 	fake_router_end();
 }
 END_TEST
@@ -126,15 +126,15 @@
 
 	fake_router_begin(20);
 	fake_router_take(1, DY_PACKET_ACK, 5);
-	fake_router.now_ms += DY_SEARCH_ANSWER_MS;
-	for (flow = 2; flow <= DY_SEARCHES_AT_ONCE + 5; flow++)
+	fake_router.now_ms += DY_SEARCH_TIMEOUT_MS;
+	for (flow = 2; flow <= DY_SEARCHES_MAX + 5; flow++)
 		fake_router_take(flow, DY_PACKET_ACK, 5);
 	fake_router_take(1, DY_PACKET_ACK, 5);
-	ck_assert_uint_eq(fake_router.forwards, 1 + DY_SEARCHES_AT_ONCE);
+	ck_assert_uint_eq(fake_router.forwards, 1 + DY_SEARCHES_MAX);
 	fake_router.forward.window = 1;
 	fake_router.forward.complete = 0;
 	fake_router_tell_nowhere(1, DY_PACKET_ACK, 1);
-	ck_assert_uint_eq(fake_router.forwards, 2 + DY_SEARCHES_AT_ONCE);
+	ck_assert_uint_eq(fake_router.forwards, 2 + DY_SEARCHES_MAX);
 	ck_assert_uint_eq(fake_router.forward.window, 2);
 	fake_router_end();
 }
--- a/tests/test_opening_queue.c
+++ b/tests/test_opening_queue.c
@@ -46,11 +46,11 @@
 	queue = dy_opening_queue_create();
 	ck_assert(add(1, 0, 100));
 	ck_assert(add(2, 0, 150));
-	ck_assert(dy_opening_queue_take(queue, &opening));
+	ck_assert(dy_opening_queue_pop(queue, &opening));
 	check_opening(&opening, 2, 0);
-	ck_assert(dy_opening_queue_take(queue, &opening));
+	ck_assert(dy_opening_queue_pop(queue, &opening));
 	check_opening(&opening, 1, 0);
-	ck_assert(!dy_opening_queue_take(queue, &opening));
+	ck_assert(!dy_opening_queue_pop(queue, &opening));
 	dy_opening_queue_destroy(queue);
 }
 END_TEST
@@ -65,10 +65,10 @@
 	ck_assert(add(2, 0, 150));
 	ck_assert(add(1, 1, 300));
 	ck_assert_uint_eq(dy_opening_queue_count(queue), 2);
-	ck_assert(!dy_opening_queue_expire(queue, 99 + DY_OPENING_WAIT_MS,
-					   &opening));
-	ck_assert(dy_opening_queue_expire(queue, 100 + DY_OPENING_WAIT_MS,
-					  &opening));
+	ck_assert(!dy_opening_queue_pop_expired(
+		queue, 99 + DY_OPENING_WAIT_MAX_MS, &opening));
+	ck_assert(dy_opening_queue_pop_expired(
+		queue, 100 + DY_OPENING_WAIT_MAX_MS, &opening));
 	check_opening(&opening, 1, 1);
 	ck_assert(!dy_opening_queue_has(queue, &opening.packet.flow));
 	dy_opening_queue_destroy(queue);
--- a/tests/test_platform.c
+++ b/tests/test_platform.c
@@ -45,20 +45,20 @@
 	ck_assert_uint_eq(packet.flow.caller_port, 1000);
 	ck_assert_uint_eq(packet.flow.entry_ip, 0x05060708);
 	ck_assert_uint_eq(packet.flow.entry_port, 80);
-	ck_assert_uint_eq(packet.marks, DY_PACKET_SYN | DY_PACKET_ACK);
-	ck_assert_uint_eq(packet.note, 0x0201);
+	ck_assert_uint_eq(packet.flags, DY_PACKET_SYN | DY_PACKET_ACK);
+	ck_assert_uint_eq(packet.tag, 0x0201);
 	ck_assert_uint_eq(packet.data_bytes, 3);
 	ck_assert_uint_eq(packet.seq, 0x01000004);
 	ck_assert_uint_eq(packet.ack, 0x02000005);
-	ck_assert_uint_eq(packet.copy, 0x02000005);
+	ck_assert_uint_eq(packet.retransmits, 0x02000005);
 	make_packet(bytes, 128 | 4 | 2);
 	ck_assert(!platform_packet_load(bytes, sizeof(bytes),
 					PLATFORM_FROM_TARGET, &packet));
 	ck_assert_uint_eq(packet.flow.entry_ip, 0x01020304);
 	ck_assert_uint_eq(packet.flow.caller_port, 80);
-	ck_assert_uint_eq(packet.marks,
+	ck_assert_uint_eq(packet.flags,
 			  DY_PACKET_FIN | DY_PACKET_RST | DY_PACKET_BOUNCED);
-	ck_assert_uint_eq(packet.copy, 0);
+	ck_assert_uint_eq(packet.retransmits, 0);
 }
 END_TEST
 
@@ -97,7 +97,7 @@
 	ck_assert_uint_eq(after[8], 1);
 	platform_packet_load(after, sizeof(after), PLATFORM_FROM_CALLER,
 			     &packet);
-	ck_assert_uint_eq(packet.note, 0xa1b2c3d4);
+	ck_assert_uint_eq(packet.tag, 0xa1b2c3d4);
 }
 END_TEST
 
@@ -125,9 +125,9 @@
 			bytes, PLATFORM_HEAD_BYTES + strlen(texts[i]),
 			PLATFORM_FROM_CALLER, &packet));
 		platform_packet_find_request(bytes, &packet);
-		ck_assert_uint_eq(packet.request_len, lens[i]);
+		ck_assert_uint_eq(packet.request_id_len, lens[i]);
 		if (lens[i])
-			ck_assert_mem_eq(packet.request, "ab12", 4);
+			ck_assert_mem_eq(packet.request_id, "ab12", 4);
 	}
 }
 END_TEST
@@ -146,7 +146,7 @@
 	ck_assert(!platform_packet_load(reset, sizeof(reset),
 					PLATFORM_FROM_TARGET, &read));
 	ck_assert(dy_flow_id_equal(&packet.flow, &read.flow));
-	ck_assert_uint_eq(read.marks, DY_PACKET_RST);
+	ck_assert_uint_eq(read.flags, DY_PACKET_RST);
 	ck_assert_uint_eq(read.seq, packet.ack);
 	ck_assert_uint_eq(read.data_bytes, 0);
 }
--- a/tests/test_search_limit.c
+++ b/tests/test_search_limit.c
@@ -2,7 +2,7 @@
 
 #include "fake_suite.h"
 
-#define SLOTS (DY_SEARCHES_AT_ONCE + 1)
+#define SLOTS (DY_SEARCHES_MAX + 1)
 
 static dy_search_limit_t limit;
 static dy_search_slot_t slots[SLOTS];
@@ -14,7 +14,7 @@
 	dy_search_limit_init(&limit);
 	for (i = 0; i < SLOTS; i++)
 		dy_search_slot_init(&slots[i]);
-	for (i = 0; i < DY_SEARCHES_AT_ONCE; i++)
+	for (i = 0; i < DY_SEARCHES_MAX; i++)
 		ck_assert(dy_search_limit_begin(&limit, &slots[i], now_ms));
 }
 
@@ -35,9 +35,9 @@
 {
 	begin_all(1000);
 	ck_assert(!dy_search_limit_begin(&limit, &slots[SLOTS - 1],
-					 999 + DY_SEARCH_ANSWER_MS));
+					 999 + DY_SEARCH_TIMEOUT_MS));
 	ck_assert(dy_search_limit_begin(&limit, &slots[SLOTS - 1],
-					1000 + DY_SEARCH_ANSWER_MS));
+					1000 + DY_SEARCH_TIMEOUT_MS));
 	ck_assert_uint_eq(limit.count, 1);
 }
 END_TEST
@@ -48,7 +48,7 @@
 	begin_all(1000);
 	dy_search_limit_end(&limit, &slots[0]);
 	dy_search_limit_end(&limit, &slots[0]);
-	ck_assert_uint_eq(limit.count, DY_SEARCHES_AT_ONCE - 1);
+	ck_assert_uint_eq(limit.count, DY_SEARCHES_MAX - 1);
 }
 END_TEST
 
--- a/tests/test_session.c
+++ b/tests/test_session.c
@@ -70,8 +70,8 @@
 	ck_assert_uint_eq(id, dy_sessions_opening_id(sessions, &a, 7));
 	ck_assert_uint_ne(id, dy_sessions_opening_id(sessions, &a, 8));
 	ck_assert_uint_ne(id, dy_sessions_opening_id(sessions, &b, 7));
-	ck_assert_uint_eq(dy_sessions_caller(sessions, &a, &credential),
-			  dy_sessions_caller(sessions, &b, &credential));
+	ck_assert_uint_eq(dy_sessions_caller_hash(sessions, &a, &credential),
+			  dy_sessions_caller_hash(sessions, &b, &credential));
 	dy_sessions_destroy(sessions);
 }
 END_TEST
--- a/tests/test_former_flows.c
+++ b/tests/test_stale_flows.c
@@ -1,4 +1,4 @@
-#include "damaskyard/former_flows.h"
+#include "damaskyard/stale_flows.h"
 
 #include <glib.h>
 
@@ -8,17 +8,17 @@
 
 #define TIME_MS 1000000
 
-static dy_former_flows_t *former;
+static dy_stale_flows_t *former;
 
 static void begin(void)
 {
 	fake_holder_create();
-	former = dy_former_flows_create(fake_holder.holder);
+	former = dy_stale_flows_create(fake_holder.holder);
 }
 
 static void end(void)
 {
-	dy_former_flows_destroy(former);
+	dy_stale_flows_destroy(former);
 	fake_holder_end();
 }
 
@@ -28,7 +28,8 @@
 
 	g_strlcpy(notice.id, id, sizeof(notice.id));
 	notice.born_ms = born_ms;
-	ck_assert(dy_flow_holder_notice(fake_holder.holder, &notice, 1));
+	ck_assert(
+		dy_flow_holder_receive_notice(fake_holder.holder, &notice, 1));
 }
 
 static dy_ledger_flow_t flow_of(unsigned port)
@@ -49,7 +50,7 @@
 	part.target = (char *)"t1";
 	part.flows.flows_val = flows;
 	part.flows.flows_len = 2;
-	dy_former_flows_take(former, &part, time_ms);
+	dy_stale_flows_add_part(former, &part, time_ms);
 }
 
 /*
@@ -65,14 +66,14 @@
 	announce("t2", 90);
 	take_list(TIME_MS + 3000);
 	take_list(TIME_MS + 3000);
-	ck_assert_uint_eq(dy_former_flows_count(former), 2);
-	ck_assert(dy_former_flows_next(former, &flow));
+	ck_assert_uint_eq(dy_stale_flows_count(former), 2);
+	ck_assert(dy_stale_flows_pop(former, &flow));
 	ck_assert_uint_eq(flow.flow.caller_port, 1);
 	ck_assert_uint_eq(flow.ack, 501);
-	ck_assert(dy_former_flows_next(former, &flow));
-	ck_assert(!dy_former_flows_next(former, &flow));
+	ck_assert(dy_stale_flows_pop(former, &flow));
+	ck_assert(!dy_stale_flows_pop(former, &flow));
 	take_list(TIME_MS + 3000);
-	ck_assert(!dy_former_flows_next(former, &flow));
+	ck_assert(!dy_stale_flows_pop(former, &flow));
 	end();
 }
 END_TEST
@@ -83,7 +84,7 @@
 	begin();
 	announce("t1", 70);
 	take_list(TIME_MS);
-	ck_assert_uint_eq(dy_former_flows_count(former), 0);
+	ck_assert_uint_eq(dy_stale_flows_count(former), 0);
 	end();
 }
 END_TEST
@@ -93,10 +94,10 @@
 {
 	begin();
 	take_list(TIME_MS);
-	ck_assert_uint_eq(dy_former_flows_count(former), 0);
-	dy_flow_holder_checked(fake_holder.holder, DY_PORT_REFUSED, 1);
+	ck_assert_uint_eq(dy_stale_flows_count(former), 0);
+	dy_flow_holder_port_checked(fake_holder.holder, DY_PORT_REFUSED, 1);
 	take_list(TIME_MS);
-	ck_assert_uint_eq(dy_former_flows_count(former), 2);
+	ck_assert_uint_eq(dy_stale_flows_count(former), 2);
 	end();
 }
 END_TEST
@@ -111,9 +112,9 @@
 	announce("t2", 90);
 	take_list(TIME_MS + 12001);
 	take_list(TIME_MS - 12001);
-	ck_assert_uint_eq(dy_former_flows_count(former), 0);
+	ck_assert_uint_eq(dy_stale_flows_count(former), 0);
 	take_list(TIME_MS + 12000);
-	ck_assert_uint_eq(dy_former_flows_count(former), 2);
+	ck_assert_uint_eq(dy_stale_flows_count(former), 2);
 	end();
 }
 END_TEST
@@ -126,13 +127,14 @@
 	dy_address_t self;
 
 	dy_address_set_ipv4(&self, 1, 7002);
-	packet.marks = DY_PACKET_SYN;
+	packet.flags = DY_PACKET_SYN;
 	forward.service = (char *)"readings";
 	forward.tries.tries_val = &self;
 	forward.tries.tries_len = 1;
 	forward.packet.packet_val = bytes;
 	forward.packet.packet_len = sizeof(bytes);
-	dy_flow_holder_take(fake_holder.holder, &forward, &packet, 1);
+	dy_flow_holder_receive_forward(fake_holder.holder, &forward, &packet,
+				       1);
 }
 
 /* A caller opened a flow by the same two ends again. */
@@ -144,9 +146,9 @@
 	announce("t2", 90);
 	take_list(TIME_MS);
 	open_flow(1);
-	ck_assert(dy_former_flows_next(former, &flow));
+	ck_assert(dy_stale_flows_pop(former, &flow));
 	ck_assert_uint_eq(flow.flow.caller_port, 2);
-	ck_assert(!dy_former_flows_next(former, &flow));
+	ck_assert(!dy_stale_flows_pop(former, &flow));
 	end();
 }
 END_TEST
