--- a/bench/common_agent.c
+++ b/bench/common_agent.c
@@ -18,11 +18,11 @@
 {
 	dy_admission_config_init(config, world->setting->slots);
 	if (world_hides(world, HIDE_SHORT_SLOT))
-		config->short_slots = 0;
+		config->reserved_short_slots = 0;
 	if (world_hides(world, HIDE_DEADLINE)) {
-		config->queue = UNSHED_QUEUE;
-		config->hold_percent = 100;
-		config->standing_hold_percent = 100;
+		config->queue_limit = UNSHED_QUEUE;
+		config->queue_wait_percent = 100;
+		config->standing_queue_wait_percent = 100;
 		config->default_budget_us = 1000 * US_PER_S;
 	}
 }
@@ -39,8 +39,8 @@
 			 index == world->setting->targets - 1);
 	agent_config(world, &config);
 	agent->admission = dy_admission_create(&config, world->rand);
-	dy_crowd_limit_init(&agent->crowd, world->setting->slots,
-			    world_now_ms(world));
+	dy_session_rate_limit_init(&agent->crowd, world->setting->slots,
+				   world_now_ms(world));
 	g_queue_init(&agent->fifo);
 }
 
--- a/bench/common_flow.c
+++ b/bench/common_flow.c
@@ -64,7 +64,7 @@
 	opening->world = world;
 	opening->flow = argument;
 	opening->balancer = balancer_any(world);
-	dy_retry_budget_first(&opening->balancer->retries);
+	dy_retry_budget_deposit(&opening->balancer->retries);
 	heap_add(world->heap, heap_now(world->heap) + world->setting->client_us,
 		 choose_target, NULL, opening);
 }
@@ -108,8 +108,8 @@
 		return;
 	}
 	if (world_hides(world, PLAIN_FIFO) || ++opening->tries >= OPEN_TRIES ||
-	    !dy_retry_budget_take(&opening->balancer->retries,
-				  DY_RETRY_IDEMPOTENT)) {
+	    !dy_retry_budget_withdraw(&opening->balancer->retries,
+				      DY_RETRY_IDEMPOTENT)) {
 		try_later(opening, UNTOLD_OPEN_US);
 		return;
 	}
@@ -186,15 +186,16 @@
 	uint32_t later_ms = 0;
 
 	dy_admission_load(agent->admission, heap_now(world->heap), &load);
-	dy_crowd_limit_adapt(&agent->crowd, load.expected_wait_us / US_PER_MS,
-			     world_now_ms(world));
+	dy_session_rate_limit_adapt(&agent->crowd,
+				    load.expected_wait_us / US_PER_MS,
+				    world_now_ms(world));
 	opening->end = OPEN_TAKEN;
 	if (agent->sessions >= world->setting->session_cap) {
 		opening->end = OPEN_AT_CAP;
 	} else if (!world_hides(world, HIDE_CROWD | PLAIN_FIFO) &&
 		   heap_now(world->heap) > WARM_UP_US) {
-		later_ms = dy_crowd_limit_take(&agent->crowd, world->rand,
-					       world_now_ms(world));
+		later_ms = dy_session_rate_limit_admit(
+			&agent->crowd, world->rand, world_now_ms(world));
 	}
 	if (later_ms) {
 		opening->end = OPEN_LATER;
--- a/bench/common_parts.h
+++ b/bench/common_parts.h
@@ -5,7 +5,7 @@
 
 #include "common_heap.h"
 #include "common_world.h"
-#include "damaskyard/budget.h"
+#include "damaskyard/rate_limit.h"
 
 #define US_PER_MS 1000ULL
 #define US_PER_S 1000000ULL
@@ -36,7 +36,7 @@
 	uint32_t sessions;
 	uint64_t joined_us; /* 0: was there from the start, warm */
 	dy_admission_t *admission;
-	dy_crowd_limit_t crowd;
+	dy_session_rate_limit_t crowd;
 	GQueue fifo; /* the baseline's queue */
 	uint32_t fifo_in_flight;
 } agent_t;
--- a/fuzz/fuzz_admission.c
+++ b/fuzz/fuzz_admission.c
@@ -251,8 +251,8 @@
 
 	fuzz.slots = take_byte(&fuzz) % 6;
 	dy_admission_config_init(&config, fuzz.slots);
-	config.queue = QUEUE;
-	config.short_slots = take_byte(&fuzz) % 3;
+	config.queue_limit = QUEUE;
+	config.reserved_short_slots = take_byte(&fuzz) % 3;
 	fuzz.rand = g_rand_new_with_seed(1);
 	fuzz.admission = dy_admission_create(&config, fuzz.rand);
 	while (fuzz.left)
--- a/fuzz/fuzz_router.c
+++ b/fuzz/fuzz_router.c
@@ -290,7 +290,7 @@
 {
 	dy_bounce_t bounce = { 0 };
 	dy_answer_t answer = { 0 };
-	uint8_t out[DY_RPC_HEAD_BYTES];
+	uint8_t out[DY_RPC_MAX_HEADER_BYTES];
 	dy_refusal_t refusal = { DY_NOT_RUN, DY_REASON_OVERLOAD, 1 };
 
 	if (!run->forwards)
@@ -300,7 +300,7 @@
 	if (take(run, 2)) {
 		bounce.forward = run->last;
 		bounce.load.draining = (bool_t)take(run, 2);
-		dy_router_bounced(run->router, &bounce, run->now_ms);
+		dy_router_receive_bounce(run->router, &bounce, run->now_ms);
 		CHECK(run->forwards + run->answers == 1);
 		return;
 	}
@@ -312,7 +312,7 @@
 	answer.datagram.datagram_val = (char *)out;
 	answer.datagram.datagram_len = (u_int)dy_rpc_write_refusal(
 		run->xid, &refusal, out, sizeof(out));
-	dy_router_answered(run->router, &answer, run->now_ms);
+	dy_router_receive_answer(run->router, &answer, run->now_ms);
 	CHECK(run->answers == 1);
 }
 
--- a/fuzz/fuzz_wire.c
+++ b/fuzz/fuzz_wire.c
@@ -38,8 +38,8 @@
 	check_inside(call.credential.body, call.credential.len, bytes, size);
 	if (dy_token_load(ring, &call.credential, &token) == DY_TOKEN_OK)
 		abort();
-	out = g_malloc(size + DY_RPC_HEAD_BYTES);
-	len = dy_rpc_write_call(&call, out, size + DY_RPC_HEAD_BYTES);
+	out = g_malloc(size + DY_RPC_MAX_HEADER_BYTES);
+	len = dy_rpc_write_call(&call, out, size + DY_RPC_MAX_HEADER_BYTES);
 	if (len != size)
 		abort();
 	g_free(out);
--- a/include/damaskyard/admission.h
+++ b/include/damaskyard/admission.h
@@ -66,8 +66,8 @@
 	dy_list_t link;
 	uint64_t submitted_us;
 	uint64_t started_us;
-	uint64_t give_up_us;
-	uint64_t until_us;
+	uint64_t queue_deadline_us;
+	uint64_t effective_deadline_us;
 	uint64_t cost_us;
 	uint64_t start_tag;
 } dy_admission_item_t;
@@ -83,7 +83,7 @@
 	 * deadline test, not this bound, should be what refuses; the bound
 	 * keeps memory and the cost of a scan small.
 	 */
-	uint32_t queue;
+	uint32_t queue_limit;
 
 	/* For a call that carries no deadline, after its submission. */
 	uint64_t default_budget_us;
@@ -93,16 +93,16 @@
 	 * queue, in percent. 50 leaves the refused caller as much time again
 	 * to come back or to ask elsewhere.
 	 */
-	uint32_t hold_percent;
+	uint32_t queue_wait_percent;
 
 	/*
 	 * The same for pulls while each has waited for a second already: it
 	 * is then no burst, a long queue adds only to the wait of each call.
 	 */
-	uint32_t standing_hold_percent;
+	uint32_t standing_queue_wait_percent;
 
 	/* Service time taken for a procedure that was never seen. */
-	uint64_t first_estimate_us;
+	uint64_t initial_estimate_us;
 
 	/*
 	 * Part of the slot time and of the queue, in percent, which
@@ -119,7 +119,7 @@
 	 * above those that the short ones keep busy, and up to half of all.
 	 * 0 turns both off.
 	 */
-	uint32_t short_slots;
+	uint32_t reserved_short_slots;
 
 	/* A refused caller is told to come back between these, in ms. */
 	uint32_t retry_min_ms;
--- a/include/damaskyard/drc.h
+++ b/include/damaskyard/drc.h
@@ -59,11 +59,11 @@
 	dy_refusal_t refusal; /* ENDED: what a copy is told */
 } dy_drc_found_t;
 
-typedef enum dy_drc_room {
+typedef enum dy_drc_begin_result {
 	DY_DRC_OK,
 	DY_DRC_FULL,	/* entered, and to be refused: see dy_drc_refuse() */
 	DY_DRC_OVERFLOW /* not entered: drop the call without an answer */
-} dy_drc_room_t;
+} dy_drc_begin_result_t;
 
 dy_drc_t *dy_drc_create(void);
 void dy_drc_destroy(dy_drc_t *drc);
@@ -79,8 +79,8 @@
  * Enter a call that was never seen, before anything is done with it. On
  * DY_DRC_FULL, *retry_after_ms is when the oldest entry ends.
  */
-dy_drc_room_t dy_drc_begin(dy_drc_t *drc, uint32_t xid, uint64_t now_ms,
-			   uint32_t *retry_after_ms);
+dy_drc_begin_result_t dy_drc_begin(dy_drc_t *drc, uint32_t xid, uint64_t now_ms,
+				   uint32_t *retry_after_ms);
 
 /*
  * Note that the call is handed to the target. Aborts the process if it was
--- a/include/damaskyard/budget.h
+++ b/include/damaskyard/rate_limit.h
@@ -1,5 +1,5 @@
-#ifndef DAMASKYARD_BUDGET_H
-#define DAMASKYARD_BUDGET_H
+#ifndef DAMASKYARD_RATE_LIMIT_H
+#define DAMASKYARD_RATE_LIMIT_H
 
 /*
  * Two limits on work that a failure makes: retries inside the system, and the
@@ -22,12 +22,12 @@
 #include <glib.h>
 
 /* Why a second send would be safe. */
-typedef enum dy_retry_ground {
+typedef enum dy_retry_safety {
 	DY_RETRY_NOT_RUN,    /* it surely did not run */
 	DY_RETRY_IDEMPOTENT, /* a second run is harmless */
 	DY_RETRY_DEDUPED,    /* the same agent's duplicate request cache */
 	DY_RETRY_UNSAFE	     /* none of these: never sent again */
-} dy_retry_ground_t;
+} dy_retry_safety_t;
 
 /* Tokens are kept in thousandths. */
 typedef struct dy_retry_budget {
@@ -47,13 +47,14 @@
 			  uint32_t burst);
 
 /* Count a first try. */
-void dy_retry_budget_first(dy_retry_budget_t *budget);
+void dy_retry_budget_deposit(dy_retry_budget_t *budget);
 
 /*
  * Whether a call may be sent again, on this ground. Takes a token if so.
  * DY_RETRY_UNSAFE is never granted.
  */
-int dy_retry_budget_take(dy_retry_budget_t *budget, dy_retry_ground_t ground);
+int dy_retry_budget_withdraw(dy_retry_budget_t *budget,
+			     dy_retry_safety_t ground);
 
 /*
  * Returns how long to wait before try number `attempt` (1 is the first
@@ -64,57 +65,59 @@
 			     uint32_t max_ms, GRand *rand);
 
 /* New sessions that one agent takes in. */
-typedef struct dy_crowd_limit {
-	uint32_t rate;	   /* new sessions a second, now */
-	uint32_t max_rate; /* while calls wait little */
-	uint32_t max_ms;   /* the latest time to come back */
+typedef struct dy_session_rate_limit {
+	uint32_t rate;	       /* new sessions a second, now */
+	uint32_t max_rate;     /* while calls wait little */
+	uint32_t max_retry_ms; /* the latest time to come back */
 	uint64_t tokens_permille;
-	uint64_t last_ms;
+	uint64_t refilled_ms;
 	uint64_t adapted_ms;
-	uint64_t booked_us; /* times to come back are given out up to here */
-	uint64_t refused;   /* since the start */
-} dy_crowd_limit_t;
+	uint64_t scheduled_until_us; /* times to come back are given out up to
+					here */
+	uint64_t refused;	     /* since the start */
+} dy_session_rate_limit_t;
 
 /*
  * New sessions a second for each slot, while calls wait little. What a session
  * brings along is not known before: its backlog may be two calls of 10 ms or
  * of 20 ms, and 100 a second of these are one or two times what a slot can
- * do. So this is only where dy_crowd_limit_adapt() starts from; 7 slots at
- * 700 a second take the 1,000 sessions that each of the targets left gets
+ * do. So this is only where dy_session_rate_limit_adapt() starts from; 7 slots
+ * at 700 a second take the 1,000 sessions that each of the targets left gets
  * when one of three domains goes within 1.5 s if these ask for little.
  */
-#define DY_CROWD_RATE_PER_SLOT 100
+#define DY_SESSION_RATE_PER_SLOT 100
 
 /* The rate never falls below this part of it. */
-#define DY_CROWD_LEAST_PART 10
+#define DY_SESSION_RATE_MIN_DIVISOR 10
 
 /*
  * Sessions at once: this long at the full rate. It is what gets in before the
  * first calls show how much they ask for.
  */
-#define DY_CROWD_BURST_MS 100
+#define DY_SESSION_RATE_BURST_MS 100
 
 /* Calls that wait longer than this mean that no more should come. */
-#define DY_CROWD_WAIT_MS 50
+#define DY_SESSION_RATE_MAX_WAIT_MS 50
 
 /* Start a limit, full, for a target of `slots` slots. */
-void dy_crowd_limit_init(dy_crowd_limit_t *limit, uint32_t slots,
-			 uint64_t now_ms);
+void dy_session_rate_limit_init(dy_session_rate_limit_t *limit, uint32_t slots,
+				uint64_t now_ms);
 
 /*
  * Take in a new session. Returns 0 if it is taken, else the time in ms after
  * which to come back (at least 1). Refused callers are booked one after the
  * other at the limit's rate, with jitter, so that they return spread out.
  */
-uint32_t dy_crowd_limit_take(dy_crowd_limit_t *limit, GRand *rand,
-			     uint64_t now_ms);
+uint32_t dy_session_rate_limit_admit(dy_session_rate_limit_t *limit,
+				     GRand *rand, uint64_t now_ms);
 
 /*
  * Note how long a new call would wait now (expected_wait_us of admission, in
- * ms), with each call or tick: it acts every 100 ms. Above DY_CROWD_WAIT_MS the
- * rate falls by a quarter, below it rises by a twentieth of the full rate.
+ * ms), with each call or tick: it acts every 100 ms. Above
+ * DY_SESSION_RATE_MAX_WAIT_MS the rate falls by a quarter, below it rises by a
+ * twentieth of the full rate.
  */
-void dy_crowd_limit_adapt(dy_crowd_limit_t *limit, uint64_t wait_ms,
-			  uint64_t now_ms);
+void dy_session_rate_limit_adapt(dy_session_rate_limit_t *limit,
+				 uint64_t wait_ms, uint64_t now_ms);
 
 #endif
--- a/include/damaskyard/router.h
+++ b/include/damaskyard/router.h
@@ -98,10 +98,10 @@
 		       const dy_router_datagram_t *datagram, uint64_t now_ms);
 
 /* Messages from agents. */
-void dy_router_answered(dy_router_t *router, const dy_answer_t *answer,
-			uint64_t now_ms);
-void dy_router_bounced(dy_router_t *router, const dy_bounce_t *bounce,
-		       uint64_t now_ms);
+void dy_router_receive_answer(dy_router_t *router, const dy_answer_t *answer,
+			      uint64_t now_ms);
+void dy_router_receive_bounce(dy_router_t *router, const dy_bounce_t *bounce,
+			      uint64_t now_ms);
 
 /*
  * Note openings that had no answer in time, and forget members that are over.
--- a/include/damaskyard/rpc.h
+++ b/include/damaskyard/rpc.h
@@ -15,10 +15,10 @@
 #include "dy_caller.h"
 
 /* Bytes of a credential's or verifier's body at most (RFC 5531, 8.2). */
-#define DY_RPC_AUTH_BYTES 400
+#define DY_RPC_MAX_AUTH_BYTES 400
 
 /* Bytes of a message's head at most: two bodies and the words around them. */
-#define DY_RPC_HEAD_BYTES (2 * DY_RPC_AUTH_BYTES + 64)
+#define DY_RPC_MAX_HEADER_BYTES (2 * DY_RPC_MAX_AUTH_BYTES + 64)
 
 typedef struct dy_rpc_auth {
 	uint32_t flavor;
--- a/include/damaskyard/verdict.h
+++ b/include/damaskyard/verdict.h
@@ -14,14 +14,14 @@
 #include "dy_caller.h"
 
 /* How far a call has come. */
-typedef enum dy_stage {
-	DY_STAGE_ARRIVED, /* read, not yet admitted */
-	DY_STAGE_QUEUED,  /* waits for a slot */
-	DY_STAGE_CLAIMED, /* has a slot; no byte is handed to the socket */
-	DY_STAGE_SENT,	  /* handed to the socket, in part or whole */
-	DY_STAGE_DONE,	  /* its outcome stands */
+typedef enum dy_call_stage {
+	DY_STAGE_RECEIVED, /* read, not yet admitted */
+	DY_STAGE_QUEUED,   /* waits for a slot */
+	DY_STAGE_ADMITTED, /* has a slot; no byte is handed to the socket */
+	DY_STAGE_SENT,	   /* handed to the socket, in part or whole */
+	DY_STAGE_DONE,	   /* its outcome stands */
 	DY_STAGES
-} dy_stage_t;
+} dy_call_stage_t;
 
 /* What happened to it. */
 typedef enum dy_call_event {
@@ -30,8 +30,9 @@
 	DY_EVENT_ANSWERED_FAULT, /* SYSTEM_ERR, or PROG_UNAVAIL by itself */
 	DY_EVENT_DENIED,	 /* the target refused the credential */
 	DY_EVENT_SHED_NOT_RUN,	 /* the target's verifier says: not run */
-	DY_EVENT_SHED_UNSURE,	 /* the target's verifier says: may have run */
-	DY_EVENT_BAD_ANSWER,	 /* malformed, or to another call */
+	DY_EVENT_SHED_MAY_HAVE_RUN, /* the target's verifier says: may have run
+				     */
+	DY_EVENT_BAD_ANSWER,	    /* malformed, or to another call */
 	DY_EVENT_ANSWER_TOO_LARGE,
 	DY_EVENT_TARGET_LOST,	 /* connection, target or its lease is gone */
 	DY_EVENT_DEADLINE,	 /* too late to be of use */
@@ -46,7 +47,7 @@
 	/* The call has its outcome now; else it goes on as it was. */
 	int final;
 	/* The target's own answer is passed on. */
-	int pass;
+	int forward_answer;
 	dy_verdict_t verdict;
 	dy_reason_t reason;
 } dy_decision_t;
@@ -59,6 +60,6 @@
  * An answer to a call that was never sent is no answer to it, and the call
  * goes on.
  */
-dy_decision_t dy_verdict_decide(dy_stage_t stage, dy_call_event_t event);
+dy_decision_t dy_verdict_decide(dy_call_stage_t stage, dy_call_event_t event);
 
 #endif
--- a/src/process/agent/agent.c
+++ b/src/process/agent/agent.c
@@ -17,7 +17,7 @@
 
 	dy_admission_config_init(&config, agent->up);
 	if (agent->service.known) {
-		config.queue = agent->service.queue;
+		config.queue_limit = agent->service.queue;
 		config.default_budget_us = agent->service.deadline_ms * 1000ULL;
 	}
 	return dy_admission_create(&config, agent->rand);
@@ -179,7 +179,8 @@
 	if (agent->slots == agent->crowd_slots)
 		return;
 	agent->crowd_slots = agent->slots;
-	dy_crowd_limit_init(&agent->crowd, agent->slots, agent_now_ms(agent));
+	dy_session_rate_limit_init(&agent->crowd, agent->slots,
+				   agent_now_ms(agent));
 }
 
 static void start_service(dy_agent_t *agent, const dy_service_t *service)
@@ -236,8 +237,8 @@
 	dy_admission_load_t load;
 
 	dy_admission_load(agent->admission, agent_now_us(agent), &load);
-	dy_crowd_limit_adapt(&agent->crowd, load.expected_wait_us / 1000,
-			     agent_now_ms(agent));
+	dy_session_rate_limit_adapt(&agent->crowd, load.expected_wait_us / 1000,
+				    agent_now_ms(agent));
 }
 
 void dy_agent_tick(dy_agent_t *agent)
--- a/src/process/agent/agent_call.c
+++ b/src/process/agent/agent_call.c
@@ -35,7 +35,7 @@
 	case DY_STAGE_QUEUED:
 		dy_admission_cancel(agent->admission, &call->admission);
 		break;
-	case DY_STAGE_CLAIMED:
+	case DY_STAGE_ADMITTED:
 	case DY_STAGE_SENT:
 		if (call->has_link)
 			agent->links[call->on_link].call = NULL;
@@ -87,8 +87,8 @@
 static int is_answer(dy_call_event_t event)
 {
 	return event == DY_EVENT_SHED_NOT_RUN ||
-	       event == DY_EVENT_SHED_UNSURE || event == DY_EVENT_DENIED ||
-	       event == DY_EVENT_ANSWERED_FAULT ||
+	       event == DY_EVENT_SHED_MAY_HAVE_RUN ||
+	       event == DY_EVENT_DENIED || event == DY_EVENT_ANSWERED_FAULT ||
 	       event == DY_EVENT_ANSWER_TOO_LARGE;
 }
 
@@ -101,7 +101,7 @@
 
 	if (!decision.final)
 		return decision;
-	dy_assert(!decision.pass);
+	dy_assert(!decision.forward_answer);
 	if (call->stage != DY_STAGE_SENT)
 		end = DY_ADMISSION_UNSENT;
 	else if (is_answer(event))
@@ -194,7 +194,7 @@
 
 	dy_assert(session->state == DY_SESSION_LOCAL ||
 		  session->state == DY_SESSION_CLOSING);
-	dy_assert(call->stage == DY_STAGE_CLAIMED && !call->has_link);
+	dy_assert(call->stage == DY_STAGE_ADMITTED && !call->has_link);
 	dy_assert(!agent->links[index].call);
 	call->has_link = 1;
 	call->on_link = index;
@@ -221,8 +221,8 @@
 {
 	call_t *call = DY_LIST_ITEM(item, call_t, admission);
 
-	dy_assert(call->stage < DY_STAGE_CLAIMED);
-	call->stage = DY_STAGE_CLAIMED;
+	dy_assert(call->stage < DY_STAGE_ADMITTED);
+	call->stage = DY_STAGE_ADMITTED;
 	g_queue_push_tail(&agent->claimed, call);
 }
 
@@ -319,7 +319,7 @@
 static int enter_call(dy_agent_t *agent, dy_session_t *session, uint32_t xid,
 		      uint32_t *retry_ms)
 {
-	dy_drc_room_t room;
+	dy_drc_begin_result_t room;
 
 	if (!session->drc)
 		session->drc = dy_drc_create();
--- a/src/process/agent/agent_forward.c
+++ b/src/process/agent/agent_forward.c
@@ -147,8 +147,8 @@
 		send_elsewhere(agent, arrival, reason, RETRY_MS);
 		return NULL;
 	}
-	retry_ms = dy_crowd_limit_take(&agent->crowd, agent->rand,
-				       agent_now_ms(agent));
+	retry_ms = dy_session_rate_limit_admit(&agent->crowd, agent->rand,
+					       agent_now_ms(agent));
 	if (retry_ms) {
 		agent_note(agent, EVENT_SESSIONS_CROWDED, "retry_ms=%u",
 			   retry_ms);
--- a/src/process/agent/agent_private.h
+++ b/src/process/agent/agent_private.h
@@ -5,7 +5,7 @@
 
 #include "damaskyard/admission.h"
 #include "damaskyard/agent.h"
-#include "damaskyard/budget.h"
+#include "damaskyard/rate_limit.h"
 #include "damaskyard/burn.h"
 #include "damaskyard/invariant.h"
 #include "damaskyard/session.h"
@@ -92,7 +92,7 @@
 	uint32_t target_xid;
 	uint32_t procedure;
 	int idempotent;
-	dy_stage_t stage;
+	dy_call_stage_t stage;
 	unsigned on_link; /* once sent, or being sent */
 	int has_link;
 	uint64_t deadline_us;
@@ -201,7 +201,7 @@
 	GRand *rand;
 	dy_sessions_t *sessions;
 	dy_admission_t *admission;
-	dy_crowd_limit_t crowd;
+	dy_session_rate_limit_t crowd;
 	dy_burn_t *burn;
 	uint64_t burn_published_ms;
 	unsigned crowd_slots; /* for which it was made */
@@ -229,7 +229,7 @@
 	uint64_t *counters[AGENT_EVENTS];
 	dy_log_limit_t limits[AGENT_EVENTS];
 	uint8_t out[DY_DATAGRAM_BYTES];
-	uint8_t call_out[DY_DATAGRAM_BYTES + DY_RPC_HEAD_BYTES];
+	uint8_t call_out[DY_DATAGRAM_BYTES + DY_RPC_MAX_HEADER_BYTES];
 };
 
 /* agent.c */
--- a/src/process/agent/agent_target.c
+++ b/src/process/agent/agent_target.c
@@ -161,8 +161,9 @@
 		return DY_EVENT_ANSWERED;
 	if (!dy_rpc_load_refusal(reply, &refusal)) {
 		*retry_ms = refusal.retry_after_ms;
-		return refusal.verdict == DY_NOT_RUN ? DY_EVENT_SHED_NOT_RUN
-						     : DY_EVENT_SHED_UNSURE;
+		return refusal.verdict == DY_NOT_RUN
+			       ? DY_EVENT_SHED_NOT_RUN
+			       : DY_EVENT_SHED_MAY_HAVE_RUN;
 	}
 	if (reply->status == GARBAGE_ARGS || reply->status == PROC_UNAVAIL ||
 	    reply->status == PROG_MISMATCH)
--- a/src/process/balancer/balancer.c
+++ b/src/process/balancer/balancer.c
@@ -90,8 +90,8 @@
 	if (!dy_sealed_fill(message, (xdrproc_t)xdr_dy_answer_t, &answer))
 		return;
 	balancer->forwarded_ms = dy_loop_now_ms(balancer->loop);
-	dy_router_answered(balancer->router, &answer,
-			   dy_loop_now_ms(balancer->loop));
+	dy_router_receive_answer(balancer->router, &answer,
+				 dy_loop_now_ms(balancer->loop));
 }
 
 static void receive_bounce(balancer_t *balancer, const dy_sealed_t *message)
@@ -102,8 +102,8 @@
 	bounce.forward.datagram.datagram_val = room;
 	if (!dy_sealed_fill(message, (xdrproc_t)xdr_dy_bounce_t, &bounce))
 		return;
-	dy_router_bounced(balancer->router, &bounce,
-			  dy_loop_now_ms(balancer->loop));
+	dy_router_receive_bounce(balancer->router, &bounce,
+				 dy_loop_now_ms(balancer->loop));
 }
 
 static void answer_status(balancer_t *balancer, const dy_sealed_t *message,
--- a/src/process/command/cmd_call.c
+++ b/src/process/command/cmd_call.c
@@ -79,7 +79,7 @@
 	dy_endpoint_t *endpoint;
 	uint32_t xid;
 	uint32_t procedure; /* of the call under way */
-	uint8_t token[DY_RPC_AUTH_BYTES];
+	uint8_t token[DY_RPC_MAX_AUTH_BYTES];
 	size_t token_len;
 	uint8_t args[DY_DATAGRAM_BYTES];
 	size_t args_len;
@@ -163,7 +163,7 @@
 
 static void send_call(exchange_t *exchange)
 {
-	uint8_t out[DY_DATAGRAM_BYTES + DY_RPC_HEAD_BYTES];
+	uint8_t out[DY_DATAGRAM_BYTES + DY_RPC_MAX_HEADER_BYTES];
 	dy_rpc_call_t call = { 0 };
 	size_t len;
 
@@ -318,7 +318,7 @@
 		g_set_error(error, DY_SETTINGS_ERROR, DY_SETTINGS_ERROR_VALUE,
 			    "--token: \"%s\" is not allowed: expected at most "
 			    "%d bytes in hexadecimal",
-			    values.token, DY_RPC_AUTH_BYTES);
+			    values.token, DY_RPC_MAX_AUTH_BYTES);
 		return FALSE;
 	}
 	dy_random_fill(&exchange->xid, sizeof(exchange->xid));
--- a/src/process/control/control_intake.c
+++ b/src/process/control/control_intake.c
@@ -57,7 +57,7 @@
 	if (dy_seal_open(control->seal, poll->bytes, poll->len, &message) !=
 		    DY_SEAL_OK ||
 	    !control_poll(control, &message, (struct sockaddr *)&from))
-		dy_poll_queue_end(intake->queue, &poll->from, poll->xid);
+		dy_poll_queue_complete(intake->queue, &poll->from, poll->xid);
 	g_free(poll->bytes);
 }
 
@@ -72,7 +72,7 @@
 	    DY_SEAL_OK)
 		control_ledger_receive(control->ledger, &message,
 				       (struct sockaddr *)&from);
-	dy_poll_queue_end(intake->lists, &ask->from, ask->xid);
+	dy_poll_queue_complete(intake->lists, &ask->from, ask->xid);
 	g_free(ask->bytes);
 }
 
@@ -84,9 +84,9 @@
 
 	if (intake->control->request_count >= REQUESTS_MAX)
 		return 0;
-	if (dy_poll_queue_take(intake->queue, now, &next))
+	if (dy_poll_queue_dequeue(intake->queue, now, &next))
 		begin_poll(intake, &next);
-	else if (dy_poll_queue_take(intake->lists, now, &next))
+	else if (dy_poll_queue_dequeue(intake->lists, now, &next))
 		give_list(intake, &next);
 	else
 		return 0;
@@ -170,13 +170,14 @@
 	if (!queue)
 		return 0;
 	dy_address_load(&address, from);
-	switch (dy_poll_queue_put(queue, &address, call.xid, is_balancer(&call),
-				  bytes, len, control_now_ms(control))) {
+	switch (dy_poll_queue_enqueue(queue, &address, call.xid,
+				      is_balancer(&call), bytes, len,
+				      control_now_ms(control))) {
 	case DY_POLL_QUEUED:
 		uv_idle_start(intake->idle, on_idle);
 		break;
 	case DY_POLL_REPLACED:
-	case DY_POLL_COPY:
+	case DY_POLL_DUPLICATE:
 		++*control->counters.poll_copies;
 		break;
 	case DY_POLL_FULL:
@@ -192,7 +193,7 @@
 	dy_address_t address;
 
 	dy_address_load(&address, from);
-	dy_poll_queue_end(intake->queue, &address, xid);
+	dy_poll_queue_complete(intake->queue, &address, xid);
 	if (dy_poll_queue_count(intake->queue) ||
 	    dy_poll_queue_count(intake->lists))
 		uv_idle_start(intake->idle, on_idle);
@@ -279,8 +280,8 @@
 uint64_t control_intake_pace_ms(const control_intake_t *intake,
 				unsigned members)
 {
-	return dy_poll_queue_pace_ms(intake->queue, members,
-				     control_now_ms(intake->control));
+	return dy_poll_queue_interval_ms(intake->queue, members,
+					 control_now_ms(intake->control));
 }
 
 void control_intake_tick(control_intake_t *intake)
--- a/src/request/admission.c
+++ b/src/request/admission.c
@@ -42,13 +42,13 @@
 void dy_admission_config_init(dy_admission_config_t *config, uint32_t slots)
 {
 	config->slots = slots;
-	config->queue = 256;
+	config->queue_limit = 256;
 	config->default_budget_us = 5000000;
-	config->hold_percent = 50;
-	config->standing_hold_percent = 12;
-	config->first_estimate_us = 5000;
+	config->queue_wait_percent = 50;
+	config->standing_queue_wait_percent = 12;
+	config->initial_estimate_us = 5000;
 	config->submission_percent = 90;
-	config->short_slots = 1;
+	config->reserved_short_slots = 1;
 	config->retry_min_ms = 50;
 	config->retry_max_ms = 30000;
 }
@@ -64,7 +64,7 @@
 	adm->rand = rand;
 	dy_list_init(&adm->running);
 	dy_list_init(&adm->given_up);
-	dy_service_times_init(&adm->times, config->first_estimate_us);
+	dy_service_times_init(&adm->times, config->initial_estimate_us);
 	dy_fair_lane_init(&adm->lanes[SUBMISSIONS].fair, seed);
 	dy_fair_lane_init(&adm->lanes[PULLS].fair, seed);
 	adm->lanes[SUBMISSIONS].percent = submissions;
@@ -132,8 +132,8 @@
 {
 	if (lane == &adm->lanes[PULLS] && lane->fair.count &&
 	    adm->now_us - lane->waiting_since_us > STANDING_US)
-		return adm->config.standing_hold_percent;
-	return adm->config.hold_percent;
+		return adm->config.standing_queue_wait_percent;
+	return adm->config.queue_wait_percent;
 }
 
 static void prepare(dy_admission_t *adm, dy_admission_item_t *item)
@@ -146,12 +146,14 @@
 	item->submitted_us = adm->now_us;
 	item->cost_us = dy_service_times_mean(&adm->times, item->procedure);
 	item->is_long = dy_service_times_is_long(&adm->times, item->procedure);
-	item->until_us = item->deadline_us;
-	if (!item->until_us)
-		item->until_us = adm->now_us + adm->config.default_budget_us;
-	budget =
-		item->until_us > adm->now_us ? item->until_us - adm->now_us : 0;
-	item->give_up_us =
+	item->effective_deadline_us = item->deadline_us;
+	if (!item->effective_deadline_us)
+		item->effective_deadline_us =
+			adm->now_us + adm->config.default_budget_us;
+	budget = item->effective_deadline_us > adm->now_us
+			 ? item->effective_deadline_us - adm->now_us
+			 : 0;
+	item->queue_deadline_us =
 		adm->now_us + budget * hold_percent(adm, lane) / PERCENT;
 	if (!item->is_long)
 		adm->last_short_us = adm->now_us;
@@ -164,7 +166,7 @@
 	uint64_t needs = dy_service_times_cautious(&adm->times, item->procedure,
 						   adm->now_us);
 
-	return adm->now_us + MAX(needs, 1) > item->until_us;
+	return adm->now_us + MAX(needs, 1) > item->effective_deadline_us;
 }
 
 /*
@@ -175,9 +177,10 @@
 {
 	uint32_t slots = adm->config.slots;
 	uint64_t busy = dy_usage_read(&adm->short_usage, adm->now_us);
-	uint64_t reserved = adm->config.short_slots + busy / DY_USAGE_US;
+	uint64_t reserved =
+		adm->config.reserved_short_slots + busy / DY_USAGE_US;
 
-	if (!adm->config.short_slots ||
+	if (!adm->config.reserved_short_slots ||
 	    adm->now_us - adm->last_short_us > SHORT_RECENT_US)
 		return slots;
 	reserved = MIN(reserved, slots / 2);
@@ -248,10 +251,10 @@
 {
 	lane_t *other = lane == &adm->lanes[PULLS] ? &adm->lanes[SUBMISSIONS]
 						   : &adm->lanes[PULLS];
-	uint32_t share = adm->config.queue * lane->percent / PERCENT;
+	uint32_t share = adm->config.queue_limit * lane->percent / PERCENT;
 	dy_admission_item_t *last;
 
-	if (count_queued(adm) < adm->config.queue)
+	if (count_queued(adm) < adm->config.queue_limit)
 		return 1;
 	if (lane->fair.count < share && other->fair.count) {
 		last = DY_LIST_ITEM(other->fair.items.prev, dy_admission_item_t,
@@ -293,8 +296,8 @@
 		dy_fair_lane_ahead_us(&lane->fair,
 				      dy_fair_lane_finish_tag(item)),
 		adm->now_us);
-	if (wait >
-	    (item->give_up_us - adm->now_us) * QUEUE_MARGIN_PERCENT / PERCENT)
+	if (wait > (item->queue_deadline_us - adm->now_us) *
+			   QUEUE_MARGIN_PERCENT / PERCENT)
 		return refuse(adm, item, DY_ADMISSION_LATE, refusal);
 	if (!make_room(adm, lane, item))
 		return refuse(adm, item, DY_ADMISSION_FULL, refusal);
@@ -383,7 +386,7 @@
 	{
 		item = DY_LIST_ITEM(pos, dy_admission_item_t, link);
 		wait = dy_admission_wait_us(adm, lane, ahead, adm->now_us);
-		if (adm->now_us + wait > item->give_up_us)
+		if (adm->now_us + wait > item->queue_deadline_us)
 			give_up(adm, item, DY_ADMISSION_LATE);
 		else
 			ahead += item->cost_us;
--- a/src/request/admission_state.h
+++ b/src/request/admission_state.h
@@ -4,7 +4,7 @@
 /* What admission.c decides on and admission_wait.c estimates from. */
 
 #include "damaskyard/admission.h"
-#include "fair_lane.h"
+#include "fair_queue.h"
 #include "service_time.h"
 #include "usage.h"
 
--- a/src/request/admission_wait.c
+++ b/src/request/admission_wait.c
@@ -12,9 +12,9 @@
 	uint64_t left =
 		elapsed < item->cost_us ? item->cost_us - elapsed : elapsed;
 
-	if (item->until_us <= now_us)
+	if (item->effective_deadline_us <= now_us)
 		return 0;
-	return MIN(left, item->until_us - now_us);
+	return MIN(left, item->effective_deadline_us - now_us);
 }
 
 static uint64_t first_free_us(const dy_admission_t *adm, uint64_t now_us)
--- a/src/request/drc.c
+++ b/src/request/drc.c
@@ -158,8 +158,8 @@
 	return (uint32_t)(oldest_ms + DY_RETRANSMIT_MS - now_ms);
 }
 
-dy_drc_room_t dy_drc_begin(dy_drc_t *drc, uint32_t xid, uint64_t now_ms,
-			   uint32_t *retry_after_ms)
+dy_drc_begin_result_t dy_drc_begin(dy_drc_t *drc, uint32_t xid, uint64_t now_ms,
+				   uint32_t *retry_after_ms)
 {
 	entry_t *entry;
 	int full;
--- a/src/request/fair_lane.c
+++ b/src/request/fair_queue.c
@@ -1,4 +1,4 @@
-#include "fair_lane.h"
+#include "fair_queue.h"
 
 #include <string.h>
 
--- a/src/request/poll_queue.c
+++ b/src/request/poll_queue.c
@@ -76,7 +76,7 @@
 
 	if (place)
 		return place;
-	if (g_hash_table_size(queue->places) >= DY_POLL_QUEUE_MAX)
+	if (g_hash_table_size(queue->places) >= DY_POLL_QUEUE_MAX_SENDERS)
 		return NULL;
 	place = g_new0(place_t, 1);
 	place->from = *from;
@@ -102,8 +102,8 @@
 
 static int has_room(const dy_poll_queue_t *queue, size_t len)
 {
-	return len <= DY_POLL_QUEUE_POLL_BYTES &&
-	       queue->bytes + len <= DY_POLL_QUEUE_BYTES;
+	return len <= DY_POLL_QUEUE_MAX_POLL_BYTES &&
+	       queue->bytes + len <= DY_POLL_QUEUE_MAX_BYTES;
 }
 
 static void join_line(dy_poll_queue_t *queue, place_t *place, int is_balancer,
@@ -118,10 +118,11 @@
 	queue->count++;
 }
 
-dy_poll_queue_result_t dy_poll_queue_put(dy_poll_queue_t *queue,
-					 const dy_address_t *from, uint32_t xid,
-					 int is_balancer, const uint8_t *bytes,
-					 size_t len, uint64_t now_ms)
+dy_poll_queue_result_t dy_poll_queue_enqueue(dy_poll_queue_t *queue,
+					     const dy_address_t *from,
+					     uint32_t xid, int is_balancer,
+					     const uint8_t *bytes, size_t len,
+					     uint64_t now_ms)
 {
 	place_t *place = has_room(queue, len) ? keep_place(queue, from) : NULL;
 	dy_poll_queue_result_t result = DY_POLL_REPLACED;
@@ -129,7 +130,7 @@
 	if (!place)
 		return DY_POLL_FULL;
 	if (place->answering && place->answering_xid == xid)
-		return DY_POLL_COPY;
+		return DY_POLL_DUPLICATE;
 	if (!place->bytes) {
 		join_line(queue, place, is_balancer, now_ms);
 		result = DY_POLL_QUEUED;
@@ -154,7 +155,8 @@
 	place_t *balancer = first_of(&queue->balancers);
 	place_t *agent = first_of(&queue->agents);
 
-	if (balancer && agent && queue->burst + 1 < DY_POLL_QUEUE_BURST) {
+	if (balancer && agent &&
+	    queue->burst + 1 < DY_POLL_QUEUE_AGENT_INTERVAL) {
 		queue->burst++;
 		return balancer;
 	}
@@ -167,7 +169,7 @@
 {
 	uint64_t seen_us;
 
-	if (queue->taken < DY_POLL_QUEUE_MEASURED)
+	if (queue->taken < DY_POLL_QUEUE_MIN_SAMPLES)
 		return;
 	seen_us = (now_ms - queue->busy_ms) * 1000 / queue->taken;
 	queue->cost_us =
@@ -177,17 +179,18 @@
 	queue->taken = 0;
 }
 
-uint64_t dy_poll_queue_pace_ms(const dy_poll_queue_t *queue, unsigned members,
-			       uint64_t now_ms)
+uint64_t dy_poll_queue_interval_ms(const dy_poll_queue_t *queue,
+				   unsigned members, uint64_t now_ms)
 {
-	uint64_t halves = (now_ms - queue->cost_ms) / DY_POLL_QUEUE_HALVES_MS;
+	uint64_t halves =
+		(now_ms - queue->cost_ms) / DY_POLL_QUEUE_COST_HALF_LIFE_MS;
 	uint64_t cost_us = halves < 32 ? queue->cost_us >> halves : 0;
 
-	return members * cost_us / (10 * DY_POLL_QUEUE_SHARE);
+	return members * cost_us / (10 * DY_POLL_QUEUE_CPU_PERCENT);
 }
 
-int dy_poll_queue_take(dy_poll_queue_t *queue, uint64_t now_ms,
-		       dy_queued_poll_t *poll)
+int dy_poll_queue_dequeue(dy_poll_queue_t *queue, uint64_t now_ms,
+			  dy_queued_poll_t *poll)
 {
 	place_t *place;
 
@@ -195,7 +198,7 @@
 		poll->bytes = place->bytes;
 		poll->len = place->len;
 		leave_line(queue, place);
-		if (now_ms - place->arrived_ms < DY_POLL_QUEUE_KEPT_MS)
+		if (now_ms - place->arrived_ms < DY_POLL_QUEUE_TIMEOUT_MS)
 			break;
 		queue->aged++;
 		g_free(poll->bytes);
@@ -207,14 +210,14 @@
 	poll->xid = place->xid;
 	place->answering = 1;
 	place->answering_xid = place->xid;
-	if (!queue->count || queue->taken >= 16 * DY_POLL_QUEUE_MEASURED)
+	if (!queue->count || queue->taken >= 16 * DY_POLL_QUEUE_MIN_SAMPLES)
 		note_cost(queue, now_ms);
 	queue->taken++;
 	return 1;
 }
 
-void dy_poll_queue_end(dy_poll_queue_t *queue, const dy_address_t *from,
-		       uint32_t xid)
+void dy_poll_queue_complete(dy_poll_queue_t *queue, const dy_address_t *from,
+			    uint32_t xid)
 {
 	place_t *place = g_hash_table_lookup(queue->places, from);
 
@@ -229,7 +232,7 @@
 	return queue->count;
 }
 
-uint64_t dy_poll_queue_aged(const dy_poll_queue_t *queue)
+uint64_t dy_poll_queue_expired(const dy_poll_queue_t *queue)
 {
 	return queue->aged;
 }
--- a/src/request/budget.c
+++ b/src/request/rate_limit.c
@@ -1,4 +1,4 @@
-#include "damaskyard/budget.h"
+#include "damaskyard/rate_limit.h"
 
 #include <string.h>
 
@@ -28,14 +28,15 @@
 	budget->tokens_permille = burst * PERMILLE;
 }
 
-void dy_retry_budget_first(dy_retry_budget_t *budget)
+void dy_retry_budget_deposit(dy_retry_budget_t *budget)
 {
 	budget->tokens_permille =
 		MIN(budget->tokens_permille + budget->ratio_permille,
 		    budget->burst * PERMILLE);
 }
 
-int dy_retry_budget_take(dy_retry_budget_t *budget, dy_retry_ground_t ground)
+int dy_retry_budget_withdraw(dy_retry_budget_t *budget,
+			     dy_retry_safety_t ground)
 {
 	if (ground == DY_RETRY_UNSAFE)
 		return 0;
@@ -58,32 +59,32 @@
 	return (uint32_t)(ms - g_rand_double(rand) * (double)ms / 2.0);
 }
 
-static uint64_t most_tokens(const dy_crowd_limit_t *limit)
+static uint64_t most_tokens(const dy_session_rate_limit_t *limit)
 {
-	return (uint64_t)limit->max_rate * DY_CROWD_BURST_MS;
+	return (uint64_t)limit->max_rate * DY_SESSION_RATE_BURST_MS;
 }
 
-void dy_crowd_limit_init(dy_crowd_limit_t *limit, uint32_t slots,
-			 uint64_t now_ms)
+void dy_session_rate_limit_init(dy_session_rate_limit_t *limit, uint32_t slots,
+				uint64_t now_ms)
 {
 	memset(limit, 0, sizeof(*limit));
-	limit->max_rate = MAX(slots, 1) * DY_CROWD_RATE_PER_SLOT;
+	limit->max_rate = MAX(slots, 1) * DY_SESSION_RATE_PER_SLOT;
 	limit->rate = limit->max_rate;
-	limit->max_ms = CROWD_MAX_MS;
+	limit->max_retry_ms = CROWD_MAX_MS;
 	limit->tokens_permille = most_tokens(limit);
-	limit->last_ms = now_ms;
+	limit->refilled_ms = now_ms;
 	limit->adapted_ms = now_ms;
 }
 
 /* A rate in sessions a second is as many thousandths a ms. */
-static void refill(dy_crowd_limit_t *limit, uint64_t now_ms)
+static void refill(dy_session_rate_limit_t *limit, uint64_t now_ms)
 {
 	uint64_t earned;
 
-	if (now_ms <= limit->last_ms)
+	if (now_ms <= limit->refilled_ms)
 		return;
-	earned = (now_ms - limit->last_ms) * limit->rate;
-	limit->last_ms = now_ms;
+	earned = (now_ms - limit->refilled_ms) * limit->rate;
+	limit->refilled_ms = now_ms;
 	limit->tokens_permille =
 		MIN(limit->tokens_permille + earned, most_tokens(limit));
 }
@@ -92,13 +93,13 @@
  * The rate may be at its lowest just now: who is booked then would be told to
  * come back long after it has risen again.
  */
-static uint32_t booking_rate(const dy_crowd_limit_t *limit)
+static uint32_t booking_rate(const dy_session_rate_limit_t *limit)
 {
 	return MAX(limit->rate, limit->max_rate / BOOK_LEAST_PART);
 }
 
-uint32_t dy_crowd_limit_take(dy_crowd_limit_t *limit, GRand *rand,
-			     uint64_t now_ms)
+uint32_t dy_session_rate_limit_admit(dy_session_rate_limit_t *limit,
+				     GRand *rand, uint64_t now_ms)
 {
 	uint64_t now_us = now_ms * US_PER_MS;
 	uint64_t gap_us = US_PER_S / MAX(booking_rate(limit), 1);
@@ -110,25 +111,26 @@
 		return 0;
 	}
 	limit->refused++;
-	limit->booked_us =
-		MAX(limit->booked_us, now_us) + gap_us * BOOK_PERCENT / PERCENT;
-	limit->booked_us = MIN(limit->booked_us,
-			       now_us + (uint64_t)limit->max_ms * US_PER_MS);
-	ms = (double)(limit->booked_us - now_us) / US_PER_MS;
+	limit->scheduled_until_us = MAX(limit->scheduled_until_us, now_us) +
+				    gap_us * BOOK_PERCENT / PERCENT;
+	limit->scheduled_until_us =
+		MIN(limit->scheduled_until_us,
+		    now_us + (uint64_t)limit->max_retry_ms * US_PER_MS);
+	ms = (double)(limit->scheduled_until_us - now_us) / US_PER_MS;
 	return 1 + (uint32_t)(ms * g_rand_double_range(rand, 0.9, 1.1));
 }
 
-void dy_crowd_limit_adapt(dy_crowd_limit_t *limit, uint64_t wait_ms,
-			  uint64_t now_ms)
+void dy_session_rate_limit_adapt(dy_session_rate_limit_t *limit,
+				 uint64_t wait_ms, uint64_t now_ms)
 {
-	uint32_t least = MAX(limit->max_rate / DY_CROWD_LEAST_PART, 1);
+	uint32_t least = MAX(limit->max_rate / DY_SESSION_RATE_MIN_DIVISOR, 1);
 	uint32_t step = MAX(limit->max_rate / 20, 1);
 
 	if (now_ms < limit->adapted_ms + ADAPT_EVERY_MS)
 		return;
 	refill(limit, now_ms);
 	limit->adapted_ms = now_ms;
-	if (wait_ms > DY_CROWD_WAIT_MS)
+	if (wait_ms > DY_SESSION_RATE_MAX_WAIT_MS)
 		limit->rate = MAX(limit->rate - limit->rate / 4, least);
 	else
 		limit->rate = MIN(limit->rate + step, limit->max_rate);
--- a/src/request/router.c
+++ b/src/request/router.c
@@ -134,7 +134,7 @@
 
 static void answer_probe(dy_router_t *router, const packet_t *packet)
 {
-	uint8_t out[DY_RPC_HEAD_BYTES];
+	uint8_t out[DY_RPC_MAX_HEADER_BYTES];
 	dy_rpc_reply_t reply = { 0 };
 
 	if (!router->ready) {
--- a/src/request/router_answer.c
+++ b/src/request/router_answer.c
@@ -85,8 +85,8 @@
 		refusal.reason == DY_REASON_DEADLINE);
 }
 
-void dy_router_answered(dy_router_t *router, const dy_answer_t *answer,
-			uint64_t now_ms)
+void dy_router_receive_answer(dy_router_t *router, const dy_answer_t *answer,
+			      uint64_t now_ms)
 {
 	const uint8_t *bytes = (const uint8_t *)answer->datagram.datagram_val;
 	size_t len = answer->datagram.datagram_len;
@@ -105,8 +105,8 @@
 					 &answer->caller, bytes, len);
 }
 
-void dy_router_bounced(dy_router_t *router, const dy_bounce_t *bounce,
-		       uint64_t now_ms)
+void dy_router_receive_bounce(dy_router_t *router, const dy_bounce_t *bounce,
+			      uint64_t now_ms)
 {
 	const dy_forward_t *forward = &bounce->forward;
 	dy_router_datagram_t datagram = { 0 };
@@ -130,7 +130,7 @@
 		note_bounce(pick, bounce, now_ms);
 	packet.service = route_table_service(router->table, datagram.service);
 	if (packet.service && packet.hops < HOPS_MAX &&
-	    dy_retry_budget_take(&router->retries, DY_RETRY_NOT_RUN)) {
+	    dy_retry_budget_withdraw(&router->retries, DY_RETRY_NOT_RUN)) {
 		router_open_flow(router, &packet);
 		return;
 	}
--- a/src/request/router_flow.c
+++ b/src/request/router_flow.c
@@ -67,7 +67,7 @@
 	}
 	opening.key = openings_key(&packet->datagram->caller, packet->call.xid);
 	if (!packet->hops) {
-		dy_retry_budget_first(&router->retries);
+		dy_retry_budget_deposit(&router->retries);
 		member = find_earlier(router, packet, opening.key);
 	}
 	if (member) {
--- a/src/request/router_private.h
+++ b/src/request/router_private.h
@@ -4,7 +4,7 @@
 #include "damaskyard/router.h"
 
 #include "../version/route_table.h"
-#include "damaskyard/budget.h"
+#include "damaskyard/rate_limit.h"
 #include "damaskyard/burn.h"
 #include "damaskyard/log.h"
 #include "damaskyard/pick.h"
--- a/src/request/router_refuse.c
+++ b/src/request/router_refuse.c
@@ -46,7 +46,7 @@
 		   dy_verdict_t verdict, dy_reason_t reason, uint32_t around_ms)
 {
 	dy_refusal_t refusal = { verdict, reason, 0 };
-	uint8_t out[DY_RPC_HEAD_BYTES];
+	uint8_t out[DY_RPC_MAX_HEADER_BYTES];
 
 	if (dy_log_allow(&router->refuse_limit, "call_refused", packet->now_ms))
 		dy_log_event(DY_LOG_WARN, "call_refused",
@@ -66,7 +66,7 @@
 
 void router_refuse_too_weak(dy_router_t *router, const packet_t *packet)
 {
-	uint8_t out[DY_RPC_HEAD_BYTES];
+	uint8_t out[DY_RPC_MAX_HEADER_BYTES];
 
 	++*router->counters.too_weak;
 	router_send(router, packet->datagram, out,
--- a/src/request/rpc.c
+++ b/src/request/rpc.c
@@ -12,7 +12,7 @@
 	if (!xdr_u_int32_t(xdrs, &auth->flavor) ||
 	    !xdr_u_int32_t(xdrs, &auth->len))
 		return FALSE;
-	if (auth->len > DY_RPC_AUTH_BYTES)
+	if (auth->len > DY_RPC_MAX_AUTH_BYTES)
 		return FALSE;
 	padded = RNDUP(auth->len);
 	auth->body = (const uint8_t *)xdr_inline(xdrs, padded);
--- a/src/request/verdict.c
+++ b/src/request/verdict.c
@@ -54,7 +54,7 @@
 		return pass_on();
 	case DY_EVENT_SHED_NOT_RUN:
 		return refuse(DY_NOT_RUN, DY_REASON_SHED);
-	case DY_EVENT_SHED_UNSURE:
+	case DY_EVENT_SHED_MAY_HAVE_RUN:
 		return refuse(DY_MAY_HAVE_RUN, DY_REASON_SHED);
 	case DY_EVENT_CANCEL_GRANTED:
 		return refuse(DY_NOT_RUN, DY_REASON_CANCELLED);
@@ -75,7 +75,7 @@
 	}
 }
 
-dy_decision_t dy_verdict_decide(dy_stage_t stage, dy_call_event_t event)
+dy_decision_t dy_verdict_decide(dy_call_stage_t stage, dy_call_event_t event)
 {
 	if (stage < DY_STAGE_SENT)
 		return decide_unsent(event);
--- a/standin/load.c
+++ b/standin/load.c
@@ -42,7 +42,7 @@
 	dy_endpoint_t *endpoint;
 	dy_address_t address;
 	call_t calls[WINDOW_MAX];
-	uint8_t token[DY_RPC_AUTH_BYTES];
+	uint8_t token[DY_RPC_MAX_AUTH_BYTES];
 	uint32_t token_len;
 	uint32_t next_xid;
 	int opening;
--- a/tests/fake_agents_calls.c
+++ b/tests/fake_agents_calls.c
@@ -137,7 +137,7 @@
 int world_answer(fake_world_t *world, unsigned index, unsigned at,
 		 fake_reply_t kind)
 {
-	static uint8_t out[DY_DATAGRAM_BYTES + DY_RPC_HEAD_BYTES];
+	static uint8_t out[DY_DATAGRAM_BYTES + DY_RPC_MAX_HEADER_BYTES];
 	fake_agent_t *agent = &world->agents[index];
 	fake_link_t *link = &agent->links[at];
 	size_t len;
--- a/tests/fake_herd.c
+++ b/tests/fake_herd.c
@@ -310,7 +310,7 @@
 			      xid,
 			      status,
 			      leader_known(control),
-			      dy_poll_queue_pace_ms(
+			      dy_poll_queue_interval_ms(
 				      control->queue,
 				      control->herd->options.members,
 				      now_ms(control->herd)) };
@@ -346,7 +346,7 @@
 	dy_address_t from = address_of(request->member);
 
 	send_answer(control, request->member, request->xid, status);
-	dy_poll_queue_end(control->queue, &from, request->xid);
+	dy_poll_queue_complete(control->queue, &from, request->xid);
 	if (!status) {
 		dy_invitations_end(control->invitations, request->member);
 		invite_some(control);
@@ -409,9 +409,9 @@
 		begin_poll(control, datagram->member, datagram->xid);
 	} else {
 		work(control, herd->options.look_us);
-		dy_poll_queue_put(control->queue, &from, datagram->xid,
-				  is_balancer(herd, datagram->member),
-				  (const uint8_t *)"", 1, now_ms(herd));
+		dy_poll_queue_enqueue(control->queue, &from, datagram->xid,
+				      is_balancer(herd, datagram->member),
+				      (const uint8_t *)"", 1, now_ms(herd));
 	}
 }
 
@@ -421,8 +421,8 @@
 	dy_queued_poll_t poll;
 
 	while (control->busy_us < end_us &&
-	       dy_poll_queue_take(control->queue, now_ms(control->herd),
-				  &poll)) {
+	       dy_poll_queue_dequeue(control->queue, now_ms(control->herd),
+				     &poll)) {
 		g_free(poll.bytes);
 		begin_poll(control, member_at(&poll.from), poll.xid);
 	}
--- a/tests/test_admission.c
+++ b/tests/test_admission.c
@@ -20,7 +20,7 @@
 
 	dy_admission_config_init(&config, slots);
 	if (queue)
-		config.queue = queue;
+		config.queue_limit = queue;
 	return fake_target_create(&config);
 }
 
--- a/tests/test_poll_queue.c
+++ b/tests/test_poll_queue.c
@@ -19,8 +19,8 @@
 {
 	dy_address_t from = sender(number);
 
-	return dy_poll_queue_put(queue, &from, xid, is_balancer,
-				 (const uint8_t *)&xid, sizeof(xid), now);
+	return dy_poll_queue_enqueue(queue, &from, xid, is_balancer,
+				     (const uint8_t *)&xid, sizeof(xid), now);
 }
 
 /* Returns the sender's number, 0 if none waits; *xid as in its bytes. */
@@ -29,7 +29,7 @@
 	dy_queued_poll_t poll;
 	const uint8_t *ip;
 
-	if (!dy_poll_queue_take(queue, now, &poll))
+	if (!dy_poll_queue_dequeue(queue, now, &poll))
 		return 0;
 	ck_assert_uint_eq(poll.len, sizeof(*xid));
 	memcpy(xid, poll.bytes, sizeof(*xid));
@@ -74,17 +74,17 @@
 
 	put(queue, 1, 10, 0, 0);
 	ck_assert_uint_eq(take(queue, 0, &xid), 1);
-	ck_assert_int_eq(put(queue, 1, 10, 0, 50), DY_POLL_COPY);
+	ck_assert_int_eq(put(queue, 1, 10, 0, 50), DY_POLL_DUPLICATE);
 	ck_assert_uint_eq(take(queue, 50, &xid), 0);
 	/* Another poll of it is no copy. */
 	ck_assert_int_eq(put(queue, 1, 11, 0, 60), DY_POLL_QUEUED);
-	dy_poll_queue_end(queue, &from, 10);
+	dy_poll_queue_complete(queue, &from, 10);
 	ck_assert_uint_eq(take(queue, 60, &xid), 1);
 	ck_assert_uint_eq(xid, 11);
 	/* The end of an older one ends nothing. */
-	dy_poll_queue_end(queue, &from, 10);
-	ck_assert_int_eq(put(queue, 1, 11, 0, 70), DY_POLL_COPY);
-	dy_poll_queue_end(queue, &from, 11);
+	dy_poll_queue_complete(queue, &from, 10);
+	ck_assert_int_eq(put(queue, 1, 11, 0, 70), DY_POLL_DUPLICATE);
+	dy_poll_queue_complete(queue, &from, 11);
 	/* Its answer was lost: the copy is answered. */
 	ck_assert_int_eq(put(queue, 1, 11, 0, 400), DY_POLL_QUEUED);
 	dy_poll_queue_destroy(queue);
@@ -113,8 +113,8 @@
 		else
 			balancers++;
 	}
-	ck_assert_uint_ge(agents, 40 / DY_POLL_QUEUE_BURST);
-	ck_assert_uint_le(agents, 40 / (DY_POLL_QUEUE_BURST - 1) + 1);
+	ck_assert_uint_ge(agents, 40 / DY_POLL_QUEUE_AGENT_INTERVAL);
+	ck_assert_uint_le(agents, 40 / (DY_POLL_QUEUE_AGENT_INTERVAL - 1) + 1);
 	/* With no balancer left every turn is an agent's. */
 	for (; agents < 200; agents++)
 		ck_assert_uint_ge(take(queue, 0, &xid), 1000);
@@ -131,8 +131,8 @@
 
 	put(queue, 1, 10, 1, 0);
 	put(queue, 2, 20, 1, 500);
-	ck_assert_uint_eq(take(queue, DY_POLL_QUEUE_KEPT_MS, &xid), 2);
-	ck_assert_uint_eq(dy_poll_queue_aged(queue), 1);
+	ck_assert_uint_eq(take(queue, DY_POLL_QUEUE_TIMEOUT_MS, &xid), 2);
+	ck_assert_uint_eq(dy_poll_queue_expired(queue), 1);
 	ck_assert_int_eq(put(queue, 1, 11, 1, 1200), DY_POLL_QUEUED);
 	ck_assert_uint_eq(take(queue, 1200, &xid), 1);
 	dy_poll_queue_destroy(queue);
@@ -145,9 +145,10 @@
 	dy_poll_queue_t *queue = dy_poll_queue_create();
 	unsigned i;
 
-	for (i = 0; i < DY_POLL_QUEUE_MAX; i++)
+	for (i = 0; i < DY_POLL_QUEUE_MAX_SENDERS; i++)
 		ck_assert_int_eq(put(queue, i, 1, 1, 0), DY_POLL_QUEUED);
-	ck_assert_int_eq(put(queue, DY_POLL_QUEUE_MAX, 1, 1, 0), DY_POLL_FULL);
+	ck_assert_int_eq(put(queue, DY_POLL_QUEUE_MAX_SENDERS, 1, 1, 0),
+			 DY_POLL_FULL);
 	ck_assert_int_eq(put(queue, 3, 2, 1, 0), DY_POLL_REPLACED);
 	dy_poll_queue_destroy(queue);
 }
@@ -159,7 +160,7 @@
  */
 START_TEST(bytes_are_bounded)
 {
-	static const uint8_t bytes[DY_POLL_QUEUE_POLL_BYTES + 1];
+	static const uint8_t bytes[DY_POLL_QUEUE_MAX_POLL_BYTES + 1];
 	dy_poll_queue_t *queue = dy_poll_queue_create();
 	dy_queued_poll_t poll;
 	dy_address_t from;
@@ -167,24 +168,24 @@
 	unsigned i;
 
 	from = sender(1);
-	ck_assert_int_eq(
-		dy_poll_queue_put(queue, &from, 1, 0, bytes, sizeof(bytes), 0),
-		DY_POLL_FULL);
-	for (i = 0; i < DY_POLL_QUEUE_MAX; i++) {
+	ck_assert_int_eq(dy_poll_queue_enqueue(queue, &from, 1, 0, bytes,
+					       sizeof(bytes), 0),
+			 DY_POLL_FULL);
+	for (i = 0; i < DY_POLL_QUEUE_MAX_SENDERS; i++) {
 		from = sender(i);
-		queued += dy_poll_queue_put(queue, &from, 1, 0, bytes,
-					    DY_POLL_QUEUE_POLL_BYTES,
-					    0) == DY_POLL_QUEUED;
+		queued += dy_poll_queue_enqueue(queue, &from, 1, 0, bytes,
+						DY_POLL_QUEUE_MAX_POLL_BYTES,
+						0) == DY_POLL_QUEUED;
 	}
-	ck_assert_uint_eq(queued,
-			  DY_POLL_QUEUE_BYTES / DY_POLL_QUEUE_POLL_BYTES);
+	ck_assert_uint_eq(queued, DY_POLL_QUEUE_MAX_BYTES /
+					  DY_POLL_QUEUE_MAX_POLL_BYTES);
 	/* What is taken makes room again. */
-	ck_assert(dy_poll_queue_take(queue, 0, &poll));
-	ck_assert_uint_eq(poll.len, DY_POLL_QUEUE_POLL_BYTES);
+	ck_assert(dy_poll_queue_dequeue(queue, 0, &poll));
+	ck_assert_uint_eq(poll.len, DY_POLL_QUEUE_MAX_POLL_BYTES);
 	g_free(poll.bytes);
-	from = sender(DY_POLL_QUEUE_MAX + 1);
-	ck_assert_int_eq(dy_poll_queue_put(queue, &from, 1, 0, bytes,
-					   DY_POLL_QUEUE_POLL_BYTES, 0),
+	from = sender(DY_POLL_QUEUE_MAX_SENDERS + 1);
+	ck_assert_int_eq(dy_poll_queue_enqueue(queue, &from, 1, 0, bytes,
+					       DY_POLL_QUEUE_MAX_POLL_BYTES, 0),
 			 DY_POLL_QUEUED);
 	dy_poll_queue_destroy(queue);
 }
@@ -203,13 +204,13 @@
 	uint64_t now = 0;
 	unsigned i;
 
-	ck_assert_uint_eq(dy_poll_queue_pace_ms(queue, 1000, 0), 0);
+	ck_assert_uint_eq(dy_poll_queue_interval_ms(queue, 1000, 0), 0);
 	for (i = 0; i < 20; i++)
 		put(queue, i + 1, 1, 1, 0);
 	for (i = 0; i < 20; i++)
 		take(queue, 5 * i, &xid);
 	/* Too few to say. */
-	ck_assert_uint_eq(dy_poll_queue_pace_ms(queue, 1000, 100), 0);
+	ck_assert_uint_eq(dy_poll_queue_interval_ms(queue, 1000, 100), 0);
 	for (i = 0; i < 400; i++)
 		put(queue, i + 1, 2, 1, 1000);
 	for (i = 0; i < 400; i++) {
@@ -217,12 +218,12 @@
 		ck_assert_uint_ne(take(queue, now, &xid), 0);
 	}
 	/* 1 ms each: a thousand members take half of the time at 2 s. */
-	ck_assert_uint_ge(dy_poll_queue_pace_ms(queue, 1000, now), 1900);
-	ck_assert_uint_le(dy_poll_queue_pace_ms(queue, 1000, now), 2100);
+	ck_assert_uint_ge(dy_poll_queue_interval_ms(queue, 1000, now), 1900);
+	ck_assert_uint_le(dy_poll_queue_interval_ms(queue, 1000, now), 2100);
 	/* Not seen again, it counts for less. */
 	ck_assert_uint_le(
-		dy_poll_queue_pace_ms(queue, 1000,
-				      now + 2 * DY_POLL_QUEUE_HALVES_MS),
+		dy_poll_queue_interval_ms(
+			queue, 1000, now + 2 * DY_POLL_QUEUE_COST_HALF_LIFE_MS),
 		525);
 	dy_poll_queue_destroy(queue);
 }
--- a/tests/test_budget.c
+++ b/tests/test_rate_limit.c
@@ -2,7 +2,7 @@
 
 #include "fake_suite.h"
 
-#include "damaskyard/budget.h"
+#include "damaskyard/rate_limit.h"
 
 #define START_MS 5000
 
@@ -19,10 +19,10 @@
 
 	dy_retry_budget_init(&budget, 100, 14);
 	for (i = 0; i < 10000; i++) {
-		dy_retry_budget_first(&budget);
-		again += dy_retry_budget_take(&budget, DY_RETRY_NOT_RUN);
-		again += dy_retry_budget_take(&budget, DY_RETRY_IDEMPOTENT);
-		unsafe += dy_retry_budget_take(&budget, DY_RETRY_UNSAFE);
+		dy_retry_budget_deposit(&budget);
+		again += dy_retry_budget_withdraw(&budget, DY_RETRY_NOT_RUN);
+		again += dy_retry_budget_withdraw(&budget, DY_RETRY_IDEMPOTENT);
+		unsafe += dy_retry_budget_withdraw(&budget, DY_RETRY_UNSAFE);
 	}
 	ck_assert_uint_le(again, 1000 + 14);
 	ck_assert_uint_ge(again, 990);
@@ -39,8 +39,8 @@
 
 	dy_retry_budget_init(&budget, 100, 14);
 	for (i = 0; i < 14; i++)
-		ck_assert(dy_retry_budget_take(&budget, DY_RETRY_DEDUPED));
-	ck_assert(!dy_retry_budget_take(&budget, DY_RETRY_DEDUPED));
+		ck_assert(dy_retry_budget_withdraw(&budget, DY_RETRY_DEDUPED));
+	ck_assert(!dy_retry_budget_withdraw(&budget, DY_RETRY_DEDUPED));
 }
 END_TEST
 
@@ -67,7 +67,7 @@
 
 /* When each of n callers comes next; all at START_MS at first. */
 typedef struct crowd {
-	dy_crowd_limit_t limit;
+	dy_session_rate_limit_t limit;
 	GRand *rand;
 	uint64_t next_ms[1000];
 	unsigned taken;
@@ -90,8 +90,8 @@
 				continue;
 			crowd->tries++;
 			arrived += now_ms != START_MS;
-			later_ms = dy_crowd_limit_take(&crowd->limit,
-						       crowd->rand, now_ms);
+			later_ms = dy_session_rate_limit_admit(
+				&crowd->limit, crowd->rand, now_ms);
 			crowd->taken += !later_ms;
 			crowd->next_ms[i] = later_ms ? now_ms + later_ms : 0;
 		}
@@ -111,7 +111,7 @@
 	int i;
 
 	crowd.rand = g_rand_new_with_seed(1);
-	dy_crowd_limit_init(&crowd.limit, 7, START_MS);
+	dy_session_rate_limit_init(&crowd.limit, 7, START_MS);
 	for (i = 0; i < 1000; i++)
 		crowd.next_ms[i] = START_MS;
 	run_crowd(&crowd, START_MS + 1);
@@ -130,20 +130,20 @@
  */
 START_TEST(crowd_waits_for_the_calls_of_those_before)
 {
-	dy_crowd_limit_t limit;
+	dy_session_rate_limit_t limit;
 	uint64_t now_ms = START_MS;
 	int i;
 
-	dy_crowd_limit_init(&limit, 7, now_ms);
+	dy_session_rate_limit_init(&limit, 7, now_ms);
 	ck_assert_uint_eq(limit.rate, 700);
 	for (i = 0; i < 10; i++)
-		dy_crowd_limit_adapt(&limit, 500, now_ms + 100);
+		dy_session_rate_limit_adapt(&limit, 500, now_ms + 100);
 	ck_assert_uint_eq(limit.rate, 525);
 	for (i = 0; i < 30; i++)
-		dy_crowd_limit_adapt(&limit, 500, now_ms += 100);
+		dy_session_rate_limit_adapt(&limit, 500, now_ms += 100);
 	ck_assert_uint_eq(limit.rate, 70);
 	for (i = 0; i < 30; i++)
-		dy_crowd_limit_adapt(&limit, 0, now_ms += 100);
+		dy_session_rate_limit_adapt(&limit, 0, now_ms += 100);
 	ck_assert_uint_eq(limit.rate, 700);
 }
 END_TEST
@@ -151,15 +151,15 @@
 START_TEST(crowd_survives_a_clock_that_goes_back)
 {
 	GRand *rand = g_rand_new_with_seed(1);
-	dy_crowd_limit_t limit;
+	dy_session_rate_limit_t limit;
 	int i;
 
-	dy_crowd_limit_init(&limit, 1, START_MS);
+	dy_session_rate_limit_init(&limit, 1, START_MS);
 	for (i = 0; i < 10; i++)
-		ck_assert_uint_eq(dy_crowd_limit_take(&limit, rand, START_MS),
-				  0);
-	ck_assert_uint_ge(dy_crowd_limit_take(&limit, rand, 10), 1);
-	ck_assert_uint_le(dy_crowd_limit_take(&limit, rand, 10), 66000);
+		ck_assert_uint_eq(
+			dy_session_rate_limit_admit(&limit, rand, START_MS), 0);
+	ck_assert_uint_ge(dy_session_rate_limit_admit(&limit, rand, 10), 1);
+	ck_assert_uint_le(dy_session_rate_limit_admit(&limit, rand, 10), 66000);
 	g_rand_free(rand);
 }
 END_TEST
--- a/tests/test_router.c
+++ b/tests/test_router.c
@@ -174,7 +174,7 @@
 	answer.datagram.datagram_val = (char *)fake->answer;
 	answer.datagram.datagram_len = (u_int)dy_rpc_write_refusal(
 		call.xid, &none, fake->answer, sizeof(fake->answer));
-	dy_router_answered(fake->router, &answer, fake->now_ms);
+	dy_router_receive_answer(fake->router, &answer, fake->now_ms);
 }
 
 static dy_token_t token_of(uint64_t agent, uint64_t incarnation)
@@ -369,7 +369,7 @@
 	answer.datagram.datagram_val = (char *)fake.answer;
 	answer.datagram.datagram_len = (u_int)dy_rpc_write_refusal(
 		1, &none, fake.answer, sizeof(fake.answer));
-	dy_router_answered(fake.router, &answer, fake.now_ms + 10);
+	dy_router_receive_answer(fake.router, &answer, fake.now_ms + 10);
 	fake.answers = 0;
 	fake.now_ms += 60000;
 	send_call(&fake, 2, SUBMIT, &token);
@@ -452,10 +452,10 @@
 	fake.forwards = 0;
 	bounce.forward = fake.last;
 	bounce.load.draining = TRUE;
-	dy_router_bounced(fake.router, &bounce, fake.now_ms + 1);
+	dy_router_receive_bounce(fake.router, &bounce, fake.now_ms + 1);
 	expect_forwarded(&fake, first == 101 ? 102 : 101);
 	bounce.forward = fake.last;
-	dy_router_bounced(fake.router, &bounce, fake.now_ms + 2);
+	dy_router_receive_bounce(fake.router, &bounce, fake.now_ms + 2);
 	expect_refused(&fake, DY_NOT_RUN, DY_REASON_NO_TARGET);
 	teardown(&fake);
 }
@@ -479,7 +479,7 @@
 	send_call(&fake, 1, 0, NULL);
 	first = fake.to_incarnation;
 	bounce.forward = fake.last;
-	dy_router_bounced(fake.router, &bounce, fake.now_ms + 1);
+	dy_router_receive_bounce(fake.router, &bounce, fake.now_ms + 1);
 	for (xid = 2; xid < 42; xid++) {
 		send_call(&fake, xid, 0, NULL);
 		received += fake.to_incarnation == first;
@@ -511,7 +511,7 @@
 			continue;
 		bounce.forward = fake.last;
 		fake.forwards = 0;
-		dy_router_bounced(fake.router, &bounce, fake.now_ms);
+		dy_router_receive_bounce(fake.router, &bounce, fake.now_ms);
 		retries += fake.forwards;
 	}
 	ck_assert_uint_gt(retries, 0);
@@ -566,7 +566,7 @@
 		if (fake.to_incarnation != 101)
 			continue;
 		bounce.forward = fake.last;
-		dy_router_bounced(fake.router, &bounce, ++fake.now_ms);
+		dy_router_receive_bounce(fake.router, &bounce, ++fake.now_ms);
 	}
 	fake.now_ms += 60000;
 	dy_router_expire(fake.router, fake.now_ms);
--- a/tests/test_verdict.c
+++ b/tests/test_verdict.c
@@ -31,7 +31,7 @@
 		for (event = 0; event < DY_EVENTS; event++) {
 			decision = dy_verdict_decide(stage, event);
 			ck_assert_int_eq(decision.verdict, DY_NOT_RUN);
-			ck_assert_int_eq(decision.pass, 0);
+			ck_assert_int_eq(decision.forward_answer, 0);
 			ck_assert_int_eq(decision.final,
 					 event >= DY_EVENT_TARGET_LOST);
 		}
@@ -65,7 +65,8 @@
 		{ DY_EVENT_DENIED, 1, 0, DY_MAY_HAVE_RUN,
 		  DY_REASON_BAD_ANSWER },
 		{ DY_EVENT_SHED_NOT_RUN, 1, 0, DY_NOT_RUN, DY_REASON_SHED },
-		{ DY_EVENT_SHED_UNSURE, 1, 0, DY_MAY_HAVE_RUN, DY_REASON_SHED },
+		{ DY_EVENT_SHED_MAY_HAVE_RUN, 1, 0, DY_MAY_HAVE_RUN,
+		  DY_REASON_SHED },
 		{ DY_EVENT_BAD_ANSWER, 1, 0, DY_MAY_HAVE_RUN,
 		  DY_REASON_BAD_ANSWER },
 		{ DY_EVENT_ANSWER_TOO_LARGE, 1, 0, DY_MAY_HAVE_RUN,
@@ -90,7 +91,7 @@
 		decision = dy_verdict_decide(DY_STAGE_SENT, rows[i].event);
 		ck_assert_int_eq(rows[i].event, i);
 		ck_assert_int_eq(decision.final, rows[i].final);
-		ck_assert_int_eq(decision.pass, rows[i].pass);
+		ck_assert_int_eq(decision.forward_answer, rows[i].pass);
 		ck_assert_int_eq(decision.verdict, rows[i].verdict);
 		ck_assert_int_eq(decision.reason, rows[i].reason);
 	}
--- a/tests/test_wire.c
+++ b/tests/test_wire.c
@@ -49,7 +49,7 @@
 {
 	dy_refusal_t refusal = { DY_NOT_RUN, DY_REASON_OVERLOAD, 750 };
 	dy_refusal_t back;
-	uint8_t out[DY_RPC_HEAD_BYTES];
+	uint8_t out[DY_RPC_MAX_HEADER_BYTES];
 	dy_rpc_reply_t reply;
 	size_t len = dy_rpc_write_refusal(7, &refusal, out, sizeof(out));
 
@@ -73,7 +73,7 @@
 START_TEST(cut_and_changed_calls_are_safe)
 {
 	uint8_t body[24] = { 9 };
-	uint8_t out[DY_RPC_HEAD_BYTES];
+	uint8_t out[DY_RPC_MAX_HEADER_BYTES];
 	uint8_t *copy;
 	dy_rpc_call_t call = { 0 };
 	dy_rpc_call_t back;
