--- a/bench/bench_policy.c
+++ b/bench/bench_policy.c
@@ -51,7 +51,7 @@
 	gint64 start;
 	int i, none = 0;
 
-	dy_pick_config_init(&config, DY_PICK_BROKEN_FLOWS);
+	dy_pick_config_init(&config, DY_PICK_AVOID_BROKEN_FLOWS);
 	config.balancers = 8;
 	start = g_get_monotonic_time();
 	for (i = 0; i < PICKS; i++) {
--- a/bench/bench_registry.c
+++ b/bench/bench_registry.c
@@ -101,7 +101,7 @@
 
 	do {
 		result.deltas.deltas_val = deltas;
-		dy_registry_fill_poll(registry, poll, &result);
+		dy_registry_fill_poll_result(registry, poll, &result);
 		poll->state_version = result.state_version;
 		bytes += encoded_bytes(&result);
 		pages++;
@@ -119,7 +119,7 @@
 
 	for (i = 0; i < FOLLOWS; i++) {
 		result.deltas.deltas_val = deltas;
-		dy_registry_fill_poll(registry, poll, &result);
+		dy_registry_fill_poll_result(registry, poll, &result);
 	}
 	printf("bench=registry_poll_unchanged us=%.3f bytes=%lu\n",
 	       (now_ms() - begin_ms) * 1e3 / FOLLOWS,
--- a/bench/common_call.c
+++ b/bench/common_call.c
@@ -68,7 +68,7 @@
 	}
 	call->agent = &world->agents[call->flow->target];
 	target = &call->balancer->targets[call->flow->target];
-	dy_pick_forwarded(target, world_now_ms(world));
+	dy_pick_note_call(target, world_now_ms(world));
 	heap_add(world->heap,
 		 heap_now(world->heap) +
 			 world_hop_us(world, call->balancer, call->agent),
@@ -197,9 +197,9 @@
 
 	(void)context;
 	target = &call->balancer->targets[call->agent->index];
-	dy_pick_answered(target, &call->report, 0, world_now_ms(world));
+	dy_pick_note_answer(target, &call->report, 0, world_now_ms(world));
 	if (call->end == CALL_REFUSED && !world_hides(world, HIDE_TRUST))
-		dy_pick_refused(target);
+		dy_pick_note_refusal(target);
 	heap_add(world->heap, heap_now(world->heap) + world->setting->client_us,
 		 arrive_at_caller, NULL, call);
 }
--- a/bench/common_flow.c
+++ b/bench/common_flow.c
@@ -124,8 +124,8 @@
 	opening_t *opening = argument;
 
 	(void)context;
-	dy_pick_failed(&opening->balancer->targets[opening->agent->index], 1,
-		       world_now_ms(opening->world));
+	dy_pick_note_failure(&opening->balancer->targets[opening->agent->index],
+			     1, world_now_ms(opening->world));
 	try_elsewhere(opening);
 }
 
@@ -158,15 +158,15 @@
 	world_t *world = opening->world;
 
 	(void)context;
-	dy_pick_answered(&opening->balancer->targets[opening->agent->index],
-			 &opening->report, 1, world_now_ms(world));
+	dy_pick_note_answer(&opening->balancer->targets[opening->agent->index],
+			    &opening->report, 1, world_now_ms(world));
 	switch (opening->end) {
 	case OPEN_TAKEN:
 		flow_opened(opening);
 		break;
 	case OPEN_AT_CAP:
 		if (!world_hides(world, HIDE_TRUST))
-			dy_pick_refused(
+			dy_pick_note_refusal(
 				&opening->balancer
 					 ->targets[opening->agent->index]);
 		try_elsewhere(opening);
@@ -297,7 +297,7 @@
 	}
 	world->result->opens++;
 	opening->agent = &world->agents[chosen];
-	dy_pick_sent(&balancer->targets[chosen], world_now_ms(world));
+	dy_pick_note_opening(&balancer->targets[chosen], world_now_ms(world));
 	if (world_hides(world, HIDE_OWN_COUNT))
 		balancer->targets[chosen].pending = 0;
 	heap_add(world->heap,
--- a/bench/common_world.c
+++ b/bench/common_world.c
@@ -348,7 +348,7 @@
 		config->stall_ms = UINT32_MAX;
 	}
 	if (world_hides(world, HIDE_DOMAIN))
-		config->local_permille = 0;
+		config->local_bias_permille = 0;
 	for (i = 0; i < setting->targets; i++) {
 		dy_pick_target_init(
 			&balancer->targets[i], (uint16_t)(i % WORLD_DOMAINS),
--- a/bench/common_world.h
+++ b/bench/common_world.h
@@ -34,7 +34,7 @@
 	uint32_t session_cap;
 	uint32_t balancers;
 	uint32_t flows;
-	dy_pick_weigh_t weigh;
+	dy_pick_priority_t weigh;
 } setting_t;
 
 typedef enum pick_mode {
--- a/bench/measure_policy.c
+++ b/bench/measure_policy.c
@@ -18,13 +18,13 @@
 
 static const setting_t settings[] = {
 	{ "ciel-noir", "readings", 1500, 1000, 10000, 7, 7, 2000, 4, 7000,
-	  DY_PICK_BROKEN_FLOWS },
+	  DY_PICK_AVOID_BROKEN_FLOWS },
 	{ "ciel-noir", "maps", 1500, 1000, 20000, 3, 7, 2000, 4, 3000,
-	  DY_PICK_BROKEN_FLOWS },
+	  DY_PICK_AVOID_BROKEN_FLOWS },
 	{ "lakeshore", "proofing", 1000, 3000, 10000, 7, 4, 2000, 4, 7000,
-	  DY_PICK_IMBALANCE },
+	  DY_PICK_AVOID_IMBALANCE },
 	{ "lakeshore", "print", 1000, 3000, 20000, 3, 4, 2000, 4, 3000,
-	  DY_PICK_IMBALANCE },
+	  DY_PICK_AVOID_IMBALANCE },
 };
 
 static const policy_t policies[] = {
--- a/include/damaskyard/document.h
+++ b/include/damaskyard/document.h
@@ -37,18 +37,18 @@
 #include "damaskyard/address.h"
 #include "dy_control.h"
 
-#define DY_SERVICE_SLOTS 4
-#define DY_SERVICE_CONNECTIONS 2000
-#define DY_SERVICE_QUEUE 64
-#define DY_SERVICE_DEADLINE_MS 2000
+#define DY_SERVICE_DEFAULT_SLOTS 4
+#define DY_SERVICE_DEFAULT_CONNECTIONS 2000
+#define DY_SERVICE_DEFAULT_QUEUE 64
+#define DY_SERVICE_DEFAULT_DEADLINE_MS 2000
 /* Stations stream all night: 4 h without one reading is a station gone. */
-#define DY_SERVICE_SESSION_IDLE_S 14400
-#define DY_SERVICE_OBJECTIVE 99.9
+#define DY_SERVICE_DEFAULT_SESSION_IDLE_S 14400
+#define DY_SERVICE_DEFAULT_OBJECTIVE_PERCENT 99.9
 
-typedef enum dy_weigh {
-	DY_WEIGH_BROKEN_FLOWS, /* keep flows whole first */
-	DY_WEIGH_IMBALANCE     /* keep targets even first */
-} dy_weigh_t;
+typedef enum dy_priority {
+	DY_PRIORITY_BROKEN_FLOWS, /* keep flows whole first */
+	DY_PRIORITY_IMBALANCE	  /* keep targets even first */
+} dy_priority_t;
 
 typedef struct dy_service {
 	char *name;
@@ -88,7 +88,7 @@
 dy_document_t *dy_document_parse(const void *bytes, size_t len, GError **error);
 void dy_document_destroy(dy_document_t *document);
 
-dy_weigh_t dy_document_weigh(const dy_document_t *document);
+dy_priority_t dy_document_priority(const dy_document_t *document);
 
 /* Services stand in the document's order; they live as long as it does. */
 unsigned dy_document_service_count(const dy_document_t *document);
@@ -109,7 +109,7 @@
 			     char text[DY_DIGEST_TEXT_BYTES]);
 
 /* Whether a procedure may run again without harm; NULL (0) always may. */
-int dy_service_idempotent(const dy_service_t *service, uint32_t procedure);
+int dy_service_is_idempotent(const dy_service_t *service, uint32_t procedure);
 
 /*
  * Whether a target that announces this may serve the service: the service
--- a/include/damaskyard/document_patch.h
+++ b/include/damaskyard/document_patch.h
@@ -25,9 +25,9 @@
  * Compare two documents. The run is at newer + patch->prefix. base may be
  * NULL with a length of 0; the run is the whole document then.
  */
-void dy_document_patch_find(dy_document_patch_t *patch, const uint8_t *base,
-			    uint32_t base_len, const uint8_t *newer,
-			    uint32_t newer_len);
+void dy_document_patch_compute(dy_document_patch_t *patch, const uint8_t *base,
+			       uint32_t base_len, const uint8_t *newer,
+			       uint32_t newer_len);
 
 /*
  * Put a document together from the base and the run. Returns its bytes, to
--- a/include/damaskyard/flow_path.h
+++ b/include/damaskyard/flow_path.h
@@ -22,18 +22,18 @@
  * Messages that did not arrive, none of them having arrived in between: a link
  * that loses three packets in ten loses so many in a row once in 1,400 times.
  */
-#define DY_FLOW_PATH_LOST 6
+#define DY_FLOW_PATH_LOST_MIN 6
 
 /*
  * The first of them was sent so long before the report, in ms: a report under
  * way crosses what was sent after it left, and one is sent each 200 ms.
  */
-#define DY_FLOW_PATH_MS 250
+#define DY_FLOW_PATH_AGE_MIN_MS 250
 
 typedef struct dy_flow_path {
-	uint32_t heard;	  /* what the agent counted, by its last report */
-	unsigned sent;	  /* since that number last changed */
-	uint64_t sent_ms; /* the first of these */
+	uint32_t received;	/* what the agent counted, by its last report */
+	unsigned sent;		/* since that number last changed */
+	uint64_t first_sent_ms; /* the first of these */
 	int broken;
 } dy_flow_path_t;
 
@@ -44,7 +44,7 @@
  * The agent reports that so many arrived; 0: it does not count them. Returns
  * whether the path was found to be broken, or whole again, by this report.
  */
-int dy_flow_path_take_report(dy_flow_path_t *path, uint32_t heard,
-			     uint64_t now_ms);
+int dy_flow_path_receive_report(dy_flow_path_t *path, uint32_t heard,
+				uint64_t now_ms);
 
 #endif
--- a/include/damaskyard/flow_targets.h
+++ b/include/damaskyard/flow_targets.h
@@ -16,9 +16,9 @@
  *	What happens without it: by hash alone the fullest of seven targets has
  *	half as many flows again as the mean, for as long as flows last; by the
  *	last report alone all openings until the next go to one target.
- *	What is done: of the first DY_FLOW_CHOICES in the flow's order the one
- *	with the fewest flows for its slots, those opened since its report
- *	counted in, and requests that wait there counted more.
+ *	What is done: of the first DY_FLOW_CANDIDATES in the flow's order the
+ *one with the fewest flows for its slots, those opened since its report counted
+ *in, and requests that wait there counted more.
  */
 
 #include <stdint.h>
@@ -32,14 +32,14 @@
  * two choices at random the fuller is already rarely far above the mean, and
  * eight leave half of DY_FLOW_TRIES for targets that came or went since.
  */
-#define DY_FLOW_CHOICES 8
+#define DY_FLOW_CANDIDATES 8
 
 /*
  * Weight of a request that waits for a slot, in flows for each slot: it delays
  * the new flow's first request by a whole service time, where an open flow is
  * idle most of the time.
  */
-#define DY_FLOW_WAITING_WEIGHT 4.0
+#define DY_FLOW_QUEUED_WEIGHT 4.0
 
 /*
  * What a target outside of the balancer's own failure domain is set back, in
@@ -47,36 +47,36 @@
  * five to ten flows for each slot of long flows, so that it decides between
  * nearly equal targets only; short flows, below one, stay in the domain.
  */
-#define DY_FLOW_DOMAIN_WEIGHT 0.3
+#define DY_FLOW_REMOTE_PENALTY 0.3
 
 /* What a target that started a short time ago is set back, likewise. */
-#define DY_FLOW_COLD_WEIGHT 1.0
+#define DY_FLOW_COLD_PENALTY 1.0
 
 /*
  * A target that did not answer an opening is chosen last for so long, in ms:
  * until its lease has run out, should it be gone.
  */
-#define DY_FLOW_SILENT_MS 3000
+#define DY_FLOW_UNANSWERED_AVOID_MS 3000
 
 /*
  * An agent reports each 200 ms to balancers that send it packets; ten reports
  * in a row are not lost by a bad link, and a lease is over after 3 s.
  */
-#define DY_FLOW_LOST_MS 2000
+#define DY_FLOW_LOST_TIMEOUT_MS 2000
 
 /*
  * Between two reports of an agent to a balancer that sends it packets, in ms: a
  * fifth of a second's openings are chosen by an older one, and counted in by
  * the balancer itself.
  */
-#define DY_FLOW_REPORT_MS 200
+#define DY_FLOW_REPORT_INTERVAL_MS 200
 
 /*
  * An agent that was sent packets and has said nothing for so long, in ms, is
  * unresponsive: five reports in a row are missing, while others are heard. A
  * link that loses a third of all packets loses five in a row once in 243 times.
  */
-#define DY_FLOW_UNRESPONSIVE_MS 1000
+#define DY_FLOW_UNRESPONSIVE_TIMEOUT_MS 1000
 
 typedef struct dy_flow_targets dy_flow_targets_t;
 
@@ -99,22 +99,22 @@
 
 /*
  * Take how many messages the agent counts that came straight from here, as
- * dy_flow_path_take_report(). Returns whether its path was found to be broken,
- * or whole again.
+ * dy_flow_path_receive_report(). Returns whether its path was found to be
+ * broken, or whole again.
  */
-int dy_flow_targets_set_heard(dy_flow_targets_t *targets,
-			      const dy_address_t *agent, uint32_t heard,
-			      uint64_t now_ms);
+int dy_flow_targets_set_received(dy_flow_targets_t *targets,
+				 const dy_address_t *agent, uint32_t heard,
+				 uint64_t now_ms);
 
 /* Whether what is sent straight to the agent does not arrive. */
-int dy_flow_targets_is_broken(const dy_flow_targets_t *targets,
-			      const dy_address_t *agent);
+int dy_flow_targets_is_path_broken(const dy_flow_targets_t *targets,
+				   const dy_address_t *agent);
 
 /* An agent that was heard within this time, in ms, may be a relay. */
-#define DY_FLOW_RELAY_MS 500
+#define DY_FLOW_RELAY_AGE_MAX_MS 500
 
 /* Agents that are looked at to find one. */
-#define DY_FLOW_RELAYS_TRIED 64u
+#define DY_FLOW_RELAY_CANDIDATES_MAX 64u
 
 /*
  * Find an agent of another domain than that one's that takes messages from
@@ -128,9 +128,9 @@
 
 /*
  * Whether the agent at that address is lost: its lease ran out, and it has
- * said nothing to this balancer either for DY_FLOW_LOST_MS, nor since this was
- * first asked about it. An agent that is cut off from control alone is not
- * lost: what is sent to it meanwhile makes it speak.
+ * said nothing to this balancer either for DY_FLOW_LOST_TIMEOUT_MS, nor since
+ * this was first asked about it. An agent that is cut off from control alone is
+ * not lost: what is sent to it meanwhile makes it speak.
  */
 int dy_flow_targets_is_lost(dy_flow_targets_t *targets,
 			    const dy_address_t *agent, uint64_t now_ms);
@@ -155,16 +155,17 @@
 /*
  * Whether the agent, to which no packets go as it is unresponsive, is to be
  * asked for a report now; if so it is taken for asked. Once in
- * DY_FLOW_REPORT_MS.
+ * DY_FLOW_REPORT_INTERVAL_MS.
  */
-int dy_flow_targets_begin_ask(dy_flow_targets_t *targets,
-			      const dy_address_t *agent, uint64_t now_ms);
+int dy_flow_targets_begin_probe(dy_flow_targets_t *targets,
+				const dy_address_t *agent, uint64_t now_ms);
 
 /* Note that a flow was sent to the agent, or that it did not answer one. */
 void dy_flow_targets_note_opened(dy_flow_targets_t *targets,
 				 const dy_address_t *agent);
-void dy_flow_targets_note_silent(dy_flow_targets_t *targets,
-				 const dy_address_t *agent, uint64_t now_ms);
+void dy_flow_targets_note_unanswered(dy_flow_targets_t *targets,
+				     const dy_address_t *agent,
+				     uint64_t now_ms);
 
 /*
  * List the agents for a new flow of a service, best first. Returns how many.
@@ -187,10 +188,10 @@
  * service since the flow was opened. So many services at most; with more, only
  * those that the entry names are searched.
  */
-#define DY_FLOW_SEARCH_SERVICES 8
+#define DY_FLOW_SEARCH_SERVICES_MAX 8
 
 /* Of DY_FLOW_SEARCH_MAX, what is kept for them. */
-#define DY_FLOW_SEARCH_OTHERS (DY_FLOW_SEARCH_SERVICES * DY_FLOW_TRIES)
+#define DY_FLOW_SEARCH_RESERVED (DY_FLOW_SEARCH_SERVICES_MAX * DY_FLOW_TRIES)
 
 /*
  * List the agents that may hold an open flow, likeliest first: those of the
--- a/include/damaskyard/pick.h
+++ b/include/damaskyard/pick.h
@@ -45,8 +45,8 @@
 
 /*
  * One target as one balancer sees it. The owner sets the first block when the
- * target joins or its registration changes; dy_pick_sent() and its kin keep
- * the rest. Zero is a good start for the rest but trust: use
+ * target joins or its registration changes; dy_pick_note_opening() and its kin
+ * keep the rest. Zero is a good start for the rest but trust: use
  * dy_pick_target_init().
  */
 typedef struct dy_pick_target {
@@ -78,13 +78,14 @@
 } dy_pick_report_t;
 
 /* What to spare first; set by a service's document. */
-typedef enum dy_pick_weigh {
-	DY_PICK_BROKEN_FLOWS, /* Ciel Noir: a broken stream loses a night */
-	DY_PICK_IMBALANCE     /* Lakeshore: a full target lags while typing */
-} dy_pick_weigh_t;
+typedef enum dy_pick_priority {
+	DY_PICK_AVOID_BROKEN_FLOWS, /* Ciel Noir: a broken stream loses a night
+				     */
+	DY_PICK_AVOID_IMBALANCE /* Lakeshore: a full target lags while typing */
+} dy_pick_priority_t;
 
 typedef struct dy_pick_config {
-	dy_pick_weigh_t weigh;
+	dy_pick_priority_t priority;
 
 	/* Balancers that share the flows, this one too: at least 1. */
 	uint32_t balancers;
@@ -96,7 +97,7 @@
 	 * The difference in load, in thousandths of a full target, up to
 	 * which a target in the own domain is taken instead.
 	 */
-	uint32_t local_permille;
+	uint32_t local_bias_permille;
 
 	/*
 	 * A target that joined gets its full part only after this time, which
@@ -118,7 +119,7 @@
 } dy_pick_config_t;
 
 /* Set *config to the defaults for `weigh`. */
-void dy_pick_config_init(dy_pick_config_t *config, dy_pick_weigh_t weigh);
+void dy_pick_config_init(dy_pick_config_t *config, dy_pick_priority_t weigh);
 
 /* Set *target to a target that joined at cold_since_ms, of which no report
  * came yet. slots are those that its registration states. */
@@ -129,41 +130,44 @@
 /*
  * Choose a target for a new flow among targets[0..n). Returns its index, or
  * -1 if none may be picked (all drain, or all connections are taken): refuse
- * the opening as not run. Does not count the choice: call dy_pick_sent().
+ * the opening as not run. Does not count the choice: call
+ * dy_pick_note_opening().
  */
 int dy_pick(const dy_pick_config_t *config, const dy_pick_target_t *targets,
 	    size_t n, GRand *rand, uint64_t now_ms);
 
 /* Note that a flow's opening went to the target. */
-void dy_pick_sent(dy_pick_target_t *target, uint64_t now_ms);
+void dy_pick_note_opening(dy_pick_target_t *target, uint64_t now_ms);
 
 /*
  * Note that any other call went to the target, so that a stall is seen
  * between openings as well.
  */
-void dy_pick_forwarded(dy_pick_target_t *target, uint64_t now_ms);
+void dy_pick_note_call(dy_pick_target_t *target, uint64_t now_ms);
 
 /*
  * Note an answer from the target's agent, with the load it reports (NULL if
  * it carries none). opened is 1 for the answer to an opening.
  */
-void dy_pick_answered(dy_pick_target_t *target, const dy_pick_report_t *report,
-		      int opened, uint64_t now_ms);
+void dy_pick_note_answer(dy_pick_target_t *target,
+			 const dy_pick_report_t *report, int opened,
+			 uint64_t now_ms);
 
 /*
  * Note that the agent refused an opening or a call because it is full or
- * late, after dy_pick_answered() for the same answer. If its report showed
+ * late, after dy_pick_note_answer() for the same answer. If its report showed
  * free slots and connections, that report is trusted less. A refusal for any
  * other reason (the crowd limit, a drain, a missing token) is not noted: it
  * says nothing against the report.
  */
-void dy_pick_refused(dy_pick_target_t *target);
+void dy_pick_note_refusal(dy_pick_target_t *target);
 
 /*
  * Note that an opening (opened 1) or another call (0) had no answer in time,
  * or could not be sent.
  */
-void dy_pick_failed(dy_pick_target_t *target, int opened, uint64_t now_ms);
+void dy_pick_note_failure(dy_pick_target_t *target, int opened,
+			  uint64_t now_ms);
 
 /* Whether the target is ejected at now_ms. */
 int dy_pick_is_ejected(const dy_pick_config_t *config,
--- a/include/damaskyard/registry.h
+++ b/include/damaskyard/registry.h
@@ -8,7 +8,7 @@
  *
  *	registry = dy_registry_create(&callbacks);
  *	each committed command:	dy_registry_apply(registry, data, size, index);
- *	each answer:		dy_registry_judge_poll(), _fill_poll(), ...
+ *	each answer:		dy_registry_evaluate_poll(), _fill_poll(), ...
  *
  * Every object carries the index of its last change, and members stand in
  * lists ordered by it, so that what changed since a version is one walk.
@@ -44,7 +44,7 @@
  * of rolling upgrades of today's sizes leaves some hundreds; 32,768 records
  * of 240 bytes are 8 MB. Beyond it the oldest is dropped early.
  */
-#define DY_REGISTRY_GONE_MAX 32768
+#define DY_REGISTRY_ENDED_MAX 32768
 
 /*
  * Operators' requests whose first answer is kept. A person makes some tens
@@ -116,8 +116,8 @@
 	 * the reason into message if not. May be NULL: then all are. Must
 	 * depend on nothing but the bytes.
 	 */
-	int (*check)(void *context, const uint8_t *bytes, size_t size,
-		     char *message, size_t message_size);
+	int (*validate)(void *context, const uint8_t *bytes, size_t size,
+			char *message, size_t message_size);
 } dy_registry_callbacks_t;
 
 /* Create an empty registry. callbacks is copied. */
@@ -177,8 +177,8 @@
 	uint8_t environment;
 	uint8_t successor_count;
 	uint8_t drain;
-	uint8_t current;  /* the newest record of its name */
-	uint8_t proposed; /* a mark of it is under way */
+	uint8_t current;       /* the newest record of its name */
+	uint8_t mark_proposed; /* a mark of it is under way */
 	char name[];
 } dy_registry_member_t;
 
@@ -198,17 +198,17 @@
 			     dy_registry_each_cb_t *each, void *context);
 
 /* What a poll asks for. */
-typedef enum dy_poll_judgement {
+typedef enum dy_poll_action {
 	DY_POLL_ANSWER,	 /* nothing changes: confirm by a read, answer */
 	DY_POLL_PROPOSE, /* command is to be committed first */
 	DY_POLL_REFUSE	 /* confirm by a read, answer with status */
-} dy_poll_judgement_t;
+} dy_poll_action_t;
 
 /*
  * Judge a poll against the state as it stands. command is set for
  * DY_POLL_PROPOSE and points into poll; status for DY_POLL_REFUSE.
  */
-dy_poll_judgement_t dy_registry_judge_poll(const dy_registry_t *registry,
+dy_poll_action_t dy_registry_evaluate_poll(const dy_registry_t *registry,
 					   const dy_poll_t *poll,
 					   dy_command_t *command,
 					   dy_status_t *status);
@@ -222,8 +222,9 @@
  * agent the agents of its own service only. An agent without a service is
  * kept at version 0, so that it gets them all once its target announced.
  */
-void dy_registry_fill_poll(const dy_registry_t *registry, const dy_poll_t *poll,
-			   dy_poll_result_t *result);
+void dy_registry_fill_poll_result(const dy_registry_t *registry,
+				  const dy_poll_t *poll,
+				  dy_poll_result_t *result);
 
 /*
  * Append to deltas (of dy_delta_t) what a member that knows nothing needs of an
@@ -290,7 +291,7 @@
 int dy_registry_is_evacuated(const dy_registry_t *registry, const char *domain);
 
 /* Whether a record of any member, or an evacuation, names the domain. */
-int dy_registry_knows_domain(const dy_registry_t *registry, const char *domain);
+int dy_registry_has_domain(const dy_registry_t *registry, const char *domain);
 
 /*
  * Times of key rotation, in ms. A new key is distributed `distribute_ms`
--- a/src/connection/flow_router.c
+++ b/src/connection/flow_router.c
@@ -230,7 +230,7 @@
 static void ask(dy_flow_router_t *router, const dy_address_t *agent,
 		uint64_t now_ms)
 {
-	if (dy_flow_targets_begin_ask(router->targets, agent, now_ms))
+	if (dy_flow_targets_begin_probe(router->targets, agent, now_ms))
 		router->config.callbacks->request_report(router->config.context,
 							 agent);
 }
@@ -243,7 +243,7 @@
 static unsigned find_way(dy_flow_router_t *router, const flow_t *flow,
 			 uint64_t now_ms, dy_address_t way[2])
 {
-	if (!dy_flow_targets_is_broken(router->targets, &flow->agent) ||
+	if (!dy_flow_targets_is_path_broken(router->targets, &flow->agent) ||
 	    !dy_flow_targets_find_relay(router->targets, &flow->agent,
 					&flow->id, now_ms, &way[0])) {
 		way[0] = flow->agent;
@@ -334,7 +334,7 @@
 	if (!flow || !flow->agent.port)
 		return;
 	++*router->second_chances;
-	dy_flow_targets_note_silent(router->targets, &flow->agent, now_ms);
+	dy_flow_targets_note_unanswered(router->targets, &flow->agent, now_ms);
 }
 
 /*
@@ -702,9 +702,10 @@
 	char text[DY_ADDRESS_TEXT_BYTES];
 
 	if (dy_log_allow(&router->path_limit, "agent_path", now_ms))
-		dy_log_event(DY_LOG_WARN, "agent_path", "agent=%s broken=%d",
-			     dy_address_format(agent, text),
-			     dy_flow_targets_is_broken(router->targets, agent));
+		dy_log_event(
+			DY_LOG_WARN, "agent_path", "agent=%s broken=%d",
+			dy_address_format(agent, text),
+			dy_flow_targets_is_path_broken(router->targets, agent));
 }
 
 void dy_flow_router_receive_report(dy_flow_router_t *router,
@@ -713,8 +714,8 @@
 {
 	dy_flow_targets_set_load(router->targets, &report->agent, &report->load,
 				 now_ms);
-	if (dy_flow_targets_set_heard(router->targets, &report->agent,
-				      report->heard, now_ms))
+	if (dy_flow_targets_set_received(router->targets, &report->agent,
+					 report->heard, now_ms))
 		log_path(router, &report->agent, now_ms);
 }
 
--- a/src/process/agent/agent.c
+++ b/src/process/agent/agent.c
@@ -38,7 +38,7 @@
 	agent->departed = g_hash_table_new_full(g_int64_hash, g_int64_equal,
 						NULL, g_free);
 	agent->sessions = dy_sessions_create(
-		FIRST_CONNECTIONS, DY_SERVICE_SESSION_IDLE_S * 1000ULL,
+		FIRST_CONNECTIONS, DY_SERVICE_DEFAULT_SESSION_IDLE_S * 1000ULL,
 		config->seed);
 	agent->admission = create_admission(agent);
 	agent->burn = dy_burn_create();
--- a/src/process/control/control.c
+++ b/src/process/control/control.c
@@ -428,7 +428,7 @@
 	const dy_registry_callbacks_t callbacks = {
 		.context = control,
 		.event = on_event,
-		.check = on_check_document,
+		.validate = on_check_document,
 	};
 
 	control->options = *options;
--- a/src/process/control/control_domain.c
+++ b/src/process/control/control_domain.c
@@ -33,7 +33,7 @@
 
 	if (known && g_strv_contains((const char *const *)known, domain))
 		return 1;
-	return dy_registry_knows_domain(control->registry, domain);
+	return dy_registry_has_domain(control->registry, domain);
 }
 
 static void count_target(void *context, const dy_registry_member_t *member)
--- a/src/process/control/control_poll.c
+++ b/src/process/control/control_poll.c
@@ -79,8 +79,8 @@
 	if (status == DY_STATUS_SUPERSEDED)
 		++*control->counters.superseded;
 	if (status == DY_STATUS_OK) {
-		dy_registry_fill_poll(control->registry, &request->args.poll,
-				      &result);
+		dy_registry_fill_poll_result(control->registry,
+					     &request->args.poll, &result);
 		control_intake_heard(control->intake, poller(request));
 	}
 	control_answer_request(request, (xdrproc_t)xdr_dy_poll_result_t,
@@ -105,9 +105,9 @@
 		return;
 	}
 	/* Another entry may have come before and changed what is right. */
-	switch (dy_registry_judge_poll(request->control->registry,
-				       &request->args.poll, &command,
-				       &status)) {
+	switch (dy_registry_evaluate_poll(request->control->registry,
+					  &request->args.poll, &command,
+					  &status)) {
 	case DY_POLL_ANSWER:
 		renew(request);
 		answer_poll(request, DY_STATUS_OK);
@@ -144,8 +144,8 @@
 		answer_poll(request, status);
 		return;
 	}
-	switch (dy_registry_judge_poll(control->registry, &request->args.poll,
-				       &command, &status)) {
+	switch (dy_registry_evaluate_poll(
+		control->registry, &request->args.poll, &command, &status)) {
 	case DY_POLL_ANSWER:
 		renew(request);
 		answer_poll(request, DY_STATUS_OK);
@@ -167,8 +167,8 @@
 	dy_command_t command;
 	dy_status_t status;
 
-	if (dy_registry_judge_poll(control->registry, &request->args.poll,
-				   &command, &status) == DY_POLL_PROPOSE) {
+	if (dy_registry_evaluate_poll(control->registry, &request->args.poll,
+				      &command, &status) == DY_POLL_PROPOSE) {
 		commit(request, &command);
 		return;
 	}
--- a/src/process/control/recent_documents.c
+++ b/src/process/control/recent_documents.c
@@ -89,7 +89,7 @@
 		return;
 	}
 	base_bytes = find_document(recent, base, &base_len);
-	dy_document_patch_find(patch, base_bytes, base_len, bytes, len);
+	dy_document_patch_compute(patch, base_bytes, base_len, bytes, len);
 	if (!base_bytes)
 		return;
 	recent->compared = 1;
--- a/src/process/flow/cmd_flow_agent.c
+++ b/src/process/flow/cmd_flow_agent.c
@@ -457,8 +457,8 @@
 	if (ok) {
 		dy_port_check_begin(agent->port_check);
 		dy_loop_on_stop(agent->member.loop, begin_stop, agent);
-		dy_loop_every(agent->member.loop, DY_FLOW_REPORT_MS, on_report,
-			      agent);
+		dy_loop_every(agent->member.loop, DY_FLOW_REPORT_INTERVAL_MS,
+			      on_report, agent);
 		dy_loop_every(agent->member.loop, CHECK_MS, on_check, agent);
 		dy_log_event(DY_LOG_INFO, "started", "name=%s service=%s",
 			     agent->member.settings.name,
--- a/src/process/report.c
+++ b/src/process/report.c
@@ -44,7 +44,7 @@
 	}
 	service = g_new0(report_service_t, 1);
 	service->name = g_strdup(name);
-	service->objective = DY_SERVICE_OBJECTIVE;
+	service->objective = DY_SERVICE_DEFAULT_OBJECTIVE_PERCENT;
 	g_ptr_array_add(report->services, service);
 	return service;
 }
--- a/src/request/router.c
+++ b/src/request/router.c
@@ -54,10 +54,11 @@
 	router->openings = openings_create();
 	router->burns = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL,
 					      destroy_burn);
-	router->domain = route_table_domain(router->table, config->domain);
+	router->domain =
+		route_table_domain_index(router->table, config->domain);
 	router->drop_limit = limit;
 	router->refuse_limit = limit;
-	dy_pick_config_init(&router->pick, DY_PICK_BROKEN_FLOWS);
+	dy_pick_config_init(&router->pick, DY_PICK_AVOID_BROKEN_FLOWS);
 	register_counters(&router->counters, config->metrics);
 	dy_retry_budget_init(&router->retries, RETRY_RATIO_PERMILLE,
 			     RETRY_BURST);
@@ -77,12 +78,12 @@
 static void configure_pick(dy_router_t *router)
 {
 	const dy_document_t *document = route_table_document(router->table);
-	dy_pick_weigh_t weigh = DY_PICK_BROKEN_FLOWS;
+	dy_pick_priority_t weigh = DY_PICK_AVOID_BROKEN_FLOWS;
 
-	if (document && dy_document_weigh(document) == DY_WEIGH_IMBALANCE)
-		weigh = DY_PICK_IMBALANCE;
+	if (document && dy_document_priority(document) == DY_PRIORITY_IMBALANCE)
+		weigh = DY_PICK_AVOID_IMBALANCE;
 	dy_pick_config_init(&router->pick, weigh);
-	router->pick.balancers = route_table_balancers(router->table);
+	router->pick.balancers = route_table_balancer_count(router->table);
 	router->pick.domain = router->domain;
 }
 
@@ -127,7 +128,7 @@
 unsigned dy_router_target_count(const dy_router_t *router, uint64_t service)
 {
 	const route_service_t *found =
-		route_table_service(router->table, service);
+		route_table_find_service(router->table, service);
 
 	return found ? found->count : 0;
 }
@@ -198,13 +199,14 @@
 		answer_probe(router, &packet);
 		return;
 	}
-	packet.service = route_table_service(router->table, datagram->service);
+	packet.service =
+		route_table_find_service(router->table, datagram->service);
 	if (!packet.service) {
 		router_refuse_unoffered(router, &packet);
 		return;
 	}
-	packet.idempotent = dy_service_idempotent(packet.service->service,
-						  packet.call.procedure);
+	packet.idempotent = dy_service_is_idempotent(packet.service->service,
+						     packet.call.procedure);
 	if (is_cancel(&packet.call)) {
 		packet.idempotent = 0;
 	} else if (!serves_program(packet.service, &packet.call)) {
--- a/src/request/router_answer.c
+++ b/src/request/router_answer.c
@@ -14,9 +14,9 @@
 				   uint64_t incarnation)
 {
 	route_service_t *service =
-		route_table_service(router->table, service_id);
+		route_table_find_service(router->table, service_id);
 	route_member_t *member =
-		route_table_incarnation(router->table, incarnation);
+		route_table_find_incarnation(router->table, incarnation);
 
 	return service && member ? route_service_find(service, member) : NULL;
 }
@@ -31,7 +31,7 @@
 	report.queued = (uint16_t)load->queued;
 	report.sessions = load->sessions;
 	report.expected_wait_ms = load->wait_ms;
-	dy_pick_answered(pick, load->slots ? &report : NULL, opened, now_ms);
+	dy_pick_note_answer(pick, load->slots ? &report : NULL, opened, now_ms);
 	if (load->draining)
 		pick->draining = 1;
 	if (load->cold)
@@ -48,10 +48,10 @@
 {
 	note_answer(pick, &bounce->load, 1, now_ms);
 	if (!bounce->load.slots)
-		dy_pick_failed(pick, 0, now_ms);
+		dy_pick_note_failure(pick, 0, now_ms);
 	/* Else an agent that has just joined would get no flow. */
 	else if (bounce->reason != DY_REASON_NOT_READY)
-		dy_pick_refused(pick);
+		dy_pick_note_refusal(pick);
 }
 
 static int take_opening(dy_router_t *router, const dy_address_t *caller,
@@ -98,7 +98,7 @@
 	if (pick) {
 		note_answer(pick, &answer->load, opened, now_ms);
 		if (!opened && is_full(bytes, len))
-			dy_pick_refused(pick);
+			dy_pick_note_refusal(pick);
 	}
 	++*router->counters.answered;
 	router->config.callbacks->answer(router->config.context, answer->socket,
@@ -128,7 +128,8 @@
 	pick = find_pick(router, forward->service, forward->incarnation);
 	if (pick)
 		note_bounce(pick, bounce, now_ms);
-	packet.service = route_table_service(router->table, datagram.service);
+	packet.service =
+		route_table_find_service(router->table, datagram.service);
 	if (packet.service && packet.hops < HOPS_MAX &&
 	    dy_retry_budget_withdraw(&router->retries, DY_RETRY_NOT_RUN)) {
 		router_open_flow(router, &packet);
@@ -147,7 +148,7 @@
 	while (openings_expire(router->openings, now_ms, &opening)) {
 		pick = find_pick(router, opening.service, opening.incarnation);
 		if (pick)
-			dy_pick_failed(pick, 1, now_ms);
+			dy_pick_note_failure(pick, 1, now_ms);
 	}
 	router_publish_burns(router, now_ms);
 	route_table_expire(router->table, now_ms);
--- a/src/request/router_flow.c
+++ b/src/request/router_flow.c
@@ -37,7 +37,8 @@
 
 	if (!opening || opening->service != packet->datagram->service)
 		return NULL;
-	return route_table_incarnation(router->table, opening->incarnation);
+	return route_table_find_incarnation(router->table,
+					    opening->incarnation);
 }
 
 static route_member_t *pick_member(dy_router_t *router, const packet_t *packet)
@@ -49,7 +50,7 @@
 		     router->config.rand, packet->now_ms);
 	if (at < 0)
 		return NULL;
-	dy_pick_sent(&service->picks[at], packet->now_ms);
+	dy_pick_note_opening(&service->picks[at], packet->now_ms);
 	return service->members[at];
 }
 
@@ -143,7 +144,7 @@
 	uint64_t next;
 	int i;
 
-	for (i = 0; member && i < ROUTE_CHAIN_MAX; i++) {
+	for (i = 0; member && i < ROUTE_SUCCESSOR_HOPS_MAX; i++) {
 		if (member->state == DY_MEMBER_DEAD)
 			return NULL;
 		if (member->state != DY_MEMBER_LEFT)
@@ -154,7 +155,7 @@
 		if (!next)
 			return NULL;
 		++*router->counters.chained;
-		member = route_table_incarnation(router->table, next);
+		member = route_table_find_incarnation(router->table, next);
 	}
 	return NULL;
 }
@@ -170,7 +171,7 @@
 	}
 	pick = route_service_find(packet->service, member);
 	if (pick)
-		dy_pick_forwarded(pick, packet->now_ms);
+		dy_pick_note_call(pick, packet->now_ms);
 	forward_to(router, packet, member);
 }
 
@@ -184,9 +185,10 @@
 	route_member_t *member;
 	route_member_t *current;
 
-	member = route_table_incarnation(router->table, token->incarnation);
+	member =
+		route_table_find_incarnation(router->table, token->incarnation);
 	if (!member) {
-		current = route_table_current(router->table, token->agent);
+		current = route_table_find_current(router->table, token->agent);
 		if (!current || current->incarnation < token->incarnation)
 			send_forward(router, packet, token->agent,
 				     token->incarnation, &token->address);
--- a/src/version/document.c
+++ b/src/version/document.c
@@ -9,7 +9,7 @@
 #define NAME_CHARACTERS "abcdefghijklmnopqrstuvwxyz0123456789._-"
 
 struct dy_document {
-	dy_weigh_t weigh;
+	dy_priority_t weigh;
 	GPtrArray *services;
 	GHashTable *by_id;
 };
@@ -169,7 +169,7 @@
 	char *end = NULL;
 	gboolean ok = TRUE;
 
-	service->objective = DY_SERVICE_OBJECTIVE;
+	service->objective = DY_SERVICE_DEFAULT_OBJECTIVE_PERCENT;
 	if (value) {
 		service->objective = g_ascii_strtod(value, &end);
 		ok = *value && !*end && service->objective > 0 &&
@@ -200,16 +200,17 @@
 
 static gboolean load_limits(const parse_t *parse, dy_service_t *service)
 {
-	return load_number(parse, "slots", DY_SERVICE_SLOTS, 1,
+	return load_number(parse, "slots", DY_SERVICE_DEFAULT_SLOTS, 1,
 			   &service->slots) &&
-	       load_number(parse, "connections", DY_SERVICE_CONNECTIONS, 1,
-			   &service->connections) &&
-	       load_number(parse, "queue", DY_SERVICE_QUEUE, 0,
+	       load_number(parse, "connections", DY_SERVICE_DEFAULT_CONNECTIONS,
+			   1, &service->connections) &&
+	       load_number(parse, "queue", DY_SERVICE_DEFAULT_QUEUE, 0,
 			   &service->queue) &&
-	       load_number(parse, "deadline_ms", DY_SERVICE_DEADLINE_MS, 1,
-			   &service->deadline_ms) &&
-	       load_number(parse, "session_idle_s", DY_SERVICE_SESSION_IDLE_S,
-			   1, &service->session_idle_s);
+	       load_number(parse, "deadline_ms", DY_SERVICE_DEFAULT_DEADLINE_MS,
+			   1, &service->deadline_ms) &&
+	       load_number(parse, "session_idle_s",
+			   DY_SERVICE_DEFAULT_SESSION_IDLE_S, 1,
+			   &service->session_idle_s);
 }
 
 static gboolean check_keys(const parse_t *parse, const char *const *known)
@@ -282,9 +283,9 @@
 		return FALSE;
 	value = find_value(parse, "weigh");
 	if (!value || !strcmp(value, "broken_flows"))
-		document->weigh = DY_WEIGH_BROKEN_FLOWS;
+		document->weigh = DY_PRIORITY_BROKEN_FLOWS;
 	else if (!strcmp(value, "imbalance"))
-		document->weigh = DY_WEIGH_IMBALANCE;
+		document->weigh = DY_PRIORITY_IMBALANCE;
 	else
 		ok = refuse(parse, DY_DOCUMENT_ERROR_VALUE, "weigh", value,
 			    "broken_flows or imbalance");
@@ -456,7 +457,7 @@
 	g_free(document);
 }
 
-dy_weigh_t dy_document_weigh(const dy_document_t *document)
+dy_priority_t dy_document_priority(const dy_document_t *document)
 {
 	return document->weigh;
 }
@@ -500,7 +501,7 @@
 	return text;
 }
 
-int dy_service_idempotent(const dy_service_t *service, uint32_t procedure)
+int dy_service_is_idempotent(const dy_service_t *service, uint32_t procedure)
 {
 	unsigned i;
 
--- a/src/version/document_patch.c
+++ b/src/version/document_patch.c
@@ -6,9 +6,9 @@
 
 #include "dy_control.h"
 
-void dy_document_patch_find(dy_document_patch_t *patch, const uint8_t *base,
-			    uint32_t base_len, const uint8_t *newer,
-			    uint32_t newer_len)
+void dy_document_patch_compute(dy_document_patch_t *patch, const uint8_t *base,
+			       uint32_t base_len, const uint8_t *newer,
+			       uint32_t newer_len)
 {
 	uint32_t most = MIN(base_len, newer_len);
 	uint32_t prefix = 0;
--- a/src/version/flow_path.c
+++ b/src/version/flow_path.c
@@ -3,23 +3,23 @@
 void dy_flow_path_note_sent(dy_flow_path_t *path, uint64_t now_ms)
 {
 	if (!path->sent)
-		path->sent_ms = now_ms;
+		path->first_sent_ms = now_ms;
 	path->sent++;
 }
 
-int dy_flow_path_take_report(dy_flow_path_t *path, uint32_t heard,
-			     uint64_t now_ms)
+int dy_flow_path_receive_report(dy_flow_path_t *path, uint32_t heard,
+				uint64_t now_ms)
 {
 	int was_broken = path->broken;
 
-	if (heard != path->heard || !heard) {
-		path->heard = heard;
+	if (heard != path->received || !heard) {
+		path->received = heard;
 		path->sent = 0;
 		path->broken = 0;
 		return was_broken;
 	}
-	if (path->sent >= DY_FLOW_PATH_LOST &&
-	    now_ms - path->sent_ms >= DY_FLOW_PATH_MS)
+	if (path->sent >= DY_FLOW_PATH_LOST_MIN &&
+	    now_ms - path->first_sent_ms >= DY_FLOW_PATH_AGE_MIN_MS)
 		path->broken = 1;
 	return path->broken != was_broken;
 }
--- a/src/version/flow_targets.c
+++ b/src/version/flow_targets.c
@@ -253,17 +253,18 @@
 	targets->heard_ms = now_ms;
 }
 
-int dy_flow_targets_set_heard(dy_flow_targets_t *targets,
-			      const dy_address_t *agent, uint32_t heard,
-			      uint64_t now_ms)
+int dy_flow_targets_set_received(dy_flow_targets_t *targets,
+				 const dy_address_t *agent, uint32_t heard,
+				 uint64_t now_ms)
 {
 	target_t *target = find_by_address(targets, agent);
 
-	return target && dy_flow_path_take_report(&target->path, heard, now_ms);
+	return target &&
+	       dy_flow_path_receive_report(&target->path, heard, now_ms);
 }
 
-int dy_flow_targets_is_broken(const dy_flow_targets_t *targets,
-			      const dy_address_t *agent)
+int dy_flow_targets_is_path_broken(const dy_flow_targets_t *targets,
+				   const dy_address_t *agent)
 {
 	const target_t *target = find_by_address(targets, agent);
 
@@ -275,7 +276,7 @@
 static int is_relay(const target_t *target, const target_t *to, uint64_t now_ms)
 {
 	return target->serving && !target->path.broken &&
-	       now_ms - target->heard_ms <= DY_FLOW_RELAY_MS &&
+	       now_ms - target->heard_ms <= DY_FLOW_RELAY_AGE_MAX_MS &&
 	       target->domain != to->domain;
 }
 
@@ -295,7 +296,7 @@
 		return 0;
 	list = g_hash_table_lookup(targets->services, to->service);
 	start = (guint)(dy_flow_id_hash(flow) % list->len);
-	for (i = 0; i < MIN(list->len, DY_FLOW_RELAYS_TRIED); i++) {
+	for (i = 0; i < MIN(list->len, DY_FLOW_RELAY_CANDIDATES_MAX); i++) {
 		target = g_ptr_array_index(list, (start + i) % list->len);
 		if (!is_relay(target, to, now_ms))
 			continue;
@@ -316,7 +317,7 @@
 static void note_asked(target_t *target, uint64_t now_ms)
 {
 	/* Nobody answers what was not sent: the silence begins anew. */
-	if (now_ms - target->sent_ms > DY_FLOW_UNRESPONSIVE_MS)
+	if (now_ms - target->sent_ms > DY_FLOW_UNRESPONSIVE_TIMEOUT_MS)
 		target->asked_ms = 0;
 	if (!target->asked_ms)
 		target->asked_ms = now_ms;
@@ -334,12 +335,12 @@
 	dy_flow_path_note_sent(&target->path, now_ms);
 }
 
-int dy_flow_targets_begin_ask(dy_flow_targets_t *targets,
-			      const dy_address_t *agent, uint64_t now_ms)
+int dy_flow_targets_begin_probe(dy_flow_targets_t *targets,
+				const dy_address_t *agent, uint64_t now_ms)
 {
 	target_t *target = find_by_address(targets, agent);
 
-	if (!target || now_ms - target->sent_ms < DY_FLOW_REPORT_MS)
+	if (!target || now_ms - target->sent_ms < DY_FLOW_REPORT_INTERVAL_MS)
 		return 0;
 	note_asked(target, now_ms);
 	dy_flow_path_note_sent(&target->path, now_ms);
@@ -352,7 +353,7 @@
 	if (!target->serving || !target->asked_ms)
 		return 0;
 	/* It is this balancer that hears nobody. */
-	if (now_ms - targets->heard_ms > DY_FLOW_REPORT_MS)
+	if (now_ms - targets->heard_ms > DY_FLOW_REPORT_INTERVAL_MS)
 		return 0;
 	/*
 	 * Guards against an agent that is stopped as planned, and started
@@ -361,8 +362,8 @@
 	 */
 	if (targets->confirmed_ms <= target->asked_ms)
 		return 0;
-	return now_ms - target->sent_ms <= DY_FLOW_UNRESPONSIVE_MS &&
-	       now_ms - target->asked_ms >= DY_FLOW_UNRESPONSIVE_MS;
+	return now_ms - target->sent_ms <= DY_FLOW_UNRESPONSIVE_TIMEOUT_MS &&
+	       now_ms - target->asked_ms >= DY_FLOW_UNRESPONSIVE_TIMEOUT_MS;
 }
 
 int dy_flow_targets_is_unresponsive(const dy_flow_targets_t *targets,
@@ -388,7 +389,7 @@
 	if (!target->doubted_ms)
 		target->doubted_ms = now_ms;
 	return now_ms - MAX(target->heard_ms, target->doubted_ms) >
-	       DY_FLOW_LOST_MS;
+	       DY_FLOW_LOST_TIMEOUT_MS;
 }
 
 void dy_flow_targets_note_opened(dy_flow_targets_t *targets,
@@ -400,13 +401,13 @@
 		target->opened++;
 }
 
-void dy_flow_targets_note_silent(dy_flow_targets_t *targets,
-				 const dy_address_t *agent, uint64_t now_ms)
+void dy_flow_targets_note_unanswered(dy_flow_targets_t *targets,
+				     const dy_address_t *agent, uint64_t now_ms)
 {
 	target_t *target = find_by_address(targets, agent);
 
 	if (target)
-		target->silent_until_ms = now_ms + DY_FLOW_SILENT_MS;
+		target->silent_until_ms = now_ms + DY_FLOW_UNANSWERED_AVOID_MS;
 }
 
 static double score_of(const target_t *target, uint64_t now_ms)
@@ -416,12 +417,12 @@
 	double score = (load->flows + target->opened) / slots;
 
 	if (load->busy > load->slots)
-		score += DY_FLOW_WAITING_WEIGHT * (load->busy - load->slots) /
+		score += DY_FLOW_QUEUED_WEIGHT * (load->busy - load->slots) /
 			 slots;
 	if (load->cold)
-		score += DY_FLOW_COLD_WEIGHT;
+		score += DY_FLOW_COLD_PENALTY;
 	if (!target->same_domain)
-		score += DY_FLOW_DOMAIN_WEIGHT;
+		score += DY_FLOW_REMOTE_PENALTY;
 	if (target->silent_until_ms > now_ms || target->path.broken)
 		score += 1e6;
 	return score;
@@ -496,13 +497,13 @@
 				dy_address_t list[DY_FLOW_TRIES])
 {
 	GPtrArray *all = g_hash_table_lookup(targets->services, service);
-	place_t places[DY_FLOW_CHOICES];
+	place_t places[DY_FLOW_CANDIDATES];
 	unsigned count;
 	unsigned i;
 
 	if (!all)
 		return 0;
-	count = order_targets(all, flow, 1, DY_FLOW_CHOICES, places);
+	count = order_targets(all, flow, 1, DY_FLOW_CANDIDATES, places);
 	for (i = 0; i < count; i++)
 		places[i].score = score_of(places[i].target, now_ms);
 	sort_by_score(places, count);
@@ -525,7 +526,7 @@
 /*
  * How many agents of each other service are searched. Of few agents all are.
  * Of more those that stand first in the flow's order: the holder was among
- * the first DY_FLOW_CHOICES of its service when the flow was opened.
+ * the first DY_FLOW_CANDIDATES of its service when the flow was opened.
  */
 static unsigned share_of_others(const dy_flow_targets_t *targets)
 {
@@ -533,7 +534,7 @@
 
 	if (targets->placed <= DY_FLOW_SEARCH_MAX)
 		return DY_FLOW_SEARCH_MAX;
-	return services <= DY_FLOW_SEARCH_SERVICES ? DY_FLOW_TRIES : 0;
+	return services <= DY_FLOW_SEARCH_SERVICES_MAX ? DY_FLOW_TRIES : 0;
 }
 
 /* The first agents of each service that is not listed. */
@@ -570,7 +571,7 @@
 	unsigned i;
 
 	if (targets->placed > DY_FLOW_SEARCH_MAX)
-		room -= DY_FLOW_SEARCH_OTHERS;
+		room -= DY_FLOW_SEARCH_RESERVED;
 	for (i = 0; i < service_count; i++) {
 		all = g_hash_table_lookup(targets->services, services[i]);
 		if (all)
--- a/src/version/pick.c
+++ b/src/version/pick.c
@@ -61,13 +61,13 @@
 	uint32_t ejected;
 } sample_t;
 
-void dy_pick_config_init(dy_pick_config_t *config, dy_pick_weigh_t weigh)
+void dy_pick_config_init(dy_pick_config_t *config, dy_pick_priority_t weigh)
 {
-	config->weigh = weigh;
+	config->priority = weigh;
 	config->balancers = 1;
 	config->domain = 0;
-	config->local_permille = LOCAL_PERMILLE;
-	config->slow_start_ms = weigh == DY_PICK_BROKEN_FLOWS
+	config->local_bias_permille = LOCAL_PERMILLE;
+	config->slow_start_ms = weigh == DY_PICK_AVOID_BROKEN_FLOWS
 					? SLOW_START_SAFE_MS
 					: SLOW_START_EVEN_MS;
 	config->stall_ms = 1000;
@@ -252,7 +252,7 @@
 	int best = load_a <= load_b ? a : b;
 	uint32_t warm, other_warm;
 
-	if (apart <= config->local_permille && local_a != local_b)
+	if (apart <= config->local_bias_permille && local_a != local_b)
 		best = local_a ? a : b;
 	warm = warmth(config, &targets[best], now_ms);
 	other_warm = warmth(config, &targets[best == a ? b : a], now_ms);
@@ -282,20 +282,21 @@
 			 rand, now_ms);
 }
 
-void dy_pick_forwarded(dy_pick_target_t *target, uint64_t now_ms)
+void dy_pick_note_call(dy_pick_target_t *target, uint64_t now_ms)
 {
 	if (!target->first_unanswered_ms)
 		target->first_unanswered_ms = now_ms ? now_ms : 1;
 }
 
-void dy_pick_sent(dy_pick_target_t *target, uint64_t now_ms)
+void dy_pick_note_opening(dy_pick_target_t *target, uint64_t now_ms)
 {
 	target->pending++;
-	dy_pick_forwarded(target, now_ms);
+	dy_pick_note_call(target, now_ms);
 }
 
-void dy_pick_answered(dy_pick_target_t *target, const dy_pick_report_t *report,
-		      int opened, uint64_t now_ms)
+void dy_pick_note_answer(dy_pick_target_t *target,
+			 const dy_pick_report_t *report, int opened,
+			 uint64_t now_ms)
 {
 	if (opened && target->pending)
 		target->pending--;
@@ -314,7 +315,7 @@
 	target->report_ms = now_ms;
 }
 
-void dy_pick_refused(dy_pick_target_t *target)
+void dy_pick_note_refusal(dy_pick_target_t *target)
 {
 	if (target->in_flight >= target->slots || target->queued ||
 	    target->sessions >= target->session_cap)
@@ -322,7 +323,7 @@
 	target->trust -= target->trust >> TRUST_LOSS_SHIFT;
 }
 
-void dy_pick_failed(dy_pick_target_t *target, int opened, uint64_t now_ms)
+void dy_pick_note_failure(dy_pick_target_t *target, int opened, uint64_t now_ms)
 {
 	if (opened && target->pending)
 		target->pending--;
--- a/src/version/registry_contents.c
+++ b/src/version/registry_contents.c
@@ -131,9 +131,9 @@
 		return;
 	}
 	content->checked = 1;
-	if (callbacks->check &&
-	    !callbacks->check(callbacks->context, content->bytes, content->size,
-			      message, sizeof(message)))
+	if (callbacks->validate &&
+	    !callbacks->validate(callbacks->context, content->bytes,
+				 content->size, message, sizeof(message)))
 		content->fault = g_strdup(message);
 }
 
--- a/src/version/registry_domains.c
+++ b/src/version/registry_domains.c
@@ -90,7 +90,7 @@
 	return record && record->evacuated;
 }
 
-int dy_registry_knows_domain(const dy_registry_t *registry, const char *domain)
+int dy_registry_has_domain(const dy_registry_t *registry, const char *domain)
 {
 	const dy_registry_member_t *member;
 	dy_list_t *pos;
--- a/src/version/registry_leases.c
+++ b/src/version/registry_leases.c
@@ -18,7 +18,7 @@
 	{
 		item(pos)->heard_ms = registry->now_ms;
 		item(pos)->document = 0;
-		item(pos)->proposed = 0;
+		item(pos)->mark_proposed = 0;
 	}
 }
 
@@ -60,7 +60,7 @@
 		member = item(pos);
 		if (member->heard_ms + after_ms > registry->now_ms)
 			return NULL;
-		if (!member->proposed)
+		if (!member->mark_proposed)
 			return member;
 	}
 	return NULL;
@@ -71,7 +71,7 @@
 {
 	if (!member)
 		return 0;
-	member->proposed = 1;
+	member->mark_proposed = 1;
 	mark->id = member->id;
 	mark->incarnation = member->incarnation;
 	mark->mark = kind;
@@ -113,7 +113,7 @@
 		if (item(pos)->id != mark->id ||
 		    item(pos)->incarnation != mark->incarnation)
 			continue;
-		item(pos)->proposed = 0;
+		item(pos)->mark_proposed = 0;
 		return 1;
 	}
 	return 0;
--- a/src/version/registry_members.c
+++ b/src/version/registry_members.c
@@ -160,7 +160,7 @@
 	else if (!dy_member_is_live(member))
 		list = &environment->gone;
 	member->heard_ms = registry->now_ms;
-	member->proposed = 0;
+	member->mark_proposed = 0;
 	dy_list_remove(&member->lease_link);
 	dy_list_append(list, &member->lease_link);
 }
@@ -180,7 +180,7 @@
 	environment->gone_count++;
 	touch_member(registry, member, registry->index);
 	registry_stamp(registry, member);
-	if (environment->gone_count > DY_REGISTRY_GONE_MAX)
+	if (environment->gone_count > DY_REGISTRY_ENDED_MAX)
 		forget_member(registry,
 			      DY_LIST_ITEM(environment->gone.next,
 					   dy_registry_member_t, lease_link));
--- a/src/version/registry_poll.c
+++ b/src/version/registry_poll.c
@@ -48,16 +48,15 @@
 			count * sizeof(uint64_t)));
 }
 
-static dy_poll_judgement_t refuse(dy_status_t *status, dy_status_t why)
+static dy_poll_action_t refuse(dy_status_t *status, dy_status_t why)
 {
 	*status = why;
 	return DY_POLL_REFUSE;
 }
 
-static dy_poll_judgement_t judge_known(const dy_registry_member_t *member,
-				       const dy_poll_t *poll,
-				       dy_command_t *command,
-				       dy_status_t *status)
+static dy_poll_action_t judge_known(const dy_registry_member_t *member,
+				    const dy_poll_t *poll,
+				    dy_command_t *command, dy_status_t *status)
 {
 	dy_member_update_t *update = &command->dy_command_t_u.update;
 
@@ -74,10 +73,10 @@
 	return DY_POLL_PROPOSE;
 }
 
-static dy_poll_judgement_t judge_new(const dy_registry_t *registry,
-				     const dy_registry_member_t *holder,
-				     const dy_poll_t *poll,
-				     dy_command_t *command, dy_status_t *status)
+static dy_poll_action_t judge_new(const dy_registry_t *registry,
+				  const dy_registry_member_t *holder,
+				  const dy_poll_t *poll, dy_command_t *command,
+				  dy_status_t *status)
 {
 	dy_member_join_t *join = &command->dy_command_t_u.join;
 
@@ -111,7 +110,7 @@
  * believing that it holds its name: an incarnation that is not the newest of
  * its name, or is over, is superseded.
  */
-dy_poll_judgement_t dy_registry_judge_poll(const dy_registry_t *registry,
+dy_poll_action_t dy_registry_evaluate_poll(const dy_registry_t *registry,
 					   const dy_poll_t *poll,
 					   dy_command_t *command,
 					   dy_status_t *status)
@@ -367,8 +366,9 @@
 	return !poll->state_version && (poll->skips & DY_SKIP_START);
 }
 
-void dy_registry_fill_poll(const dy_registry_t *registry, const dy_poll_t *poll,
-			   dy_poll_result_t *result)
+void dy_registry_fill_poll_result(const dy_registry_t *registry,
+				  const dy_poll_t *poll,
+				  dy_poll_result_t *result)
 {
 	const dy_registry_member_t *member = find_poller(registry, poll);
 	int homeless =
--- a/src/version/route_table.c
+++ b/src/version/route_table.c
@@ -73,7 +73,7 @@
 	g_free(table);
 }
 
-uint16_t route_table_domain(route_table_t *table, const char *name)
+uint16_t route_table_domain_index(route_table_t *table, const char *name)
 {
 	guint i;
 
@@ -106,12 +106,13 @@
 static void add_target(route_service_t *service, route_member_t *member,
 		       const dy_pick_target_t *pick)
 {
-	if (service->count == service->room) {
-		service->room = service->room ? 2 * service->room : 4;
+	if (service->count == service->capacity) {
+		service->capacity =
+			service->capacity ? 2 * service->capacity : 4;
 		service->picks = g_renew(dy_pick_target_t, service->picks,
-					 service->room);
+					 service->capacity);
 		service->members = g_renew(route_member_t *, service->members,
-					   service->room);
+					   service->capacity);
 	}
 	service->picks[service->count] = *pick;
 	service->members[service->count] = member;
@@ -305,7 +306,7 @@
 	member->id = from->id;
 	member->address = from->info.address;
 	member->state = (uint8_t)from->state;
-	member->domain = route_table_domain(table, from->info.domain);
+	member->domain = route_table_domain_index(table, from->info.domain);
 	member->slots = from->info.slots;
 	member->connections = from->info.connections;
 	set_text(&member->service, from->info.service);
@@ -328,7 +329,7 @@
 
 static void make_current(route_table_t *table, route_member_t *member)
 {
-	route_member_t *held = route_table_current(table, member->id);
+	route_member_t *held = route_table_find_current(table, member->id);
 
 	if (!held || held->incarnation < member->incarnation)
 		g_hash_table_replace(table->current, &member->id, member);
@@ -343,7 +344,7 @@
 		count_balancer(table, from);
 		return;
 	}
-	member = route_table_incarnation(table, from->incarnation);
+	member = route_table_find_incarnation(table, from->incarnation);
 	if (!member) {
 		member = g_new0(route_member_t, 1);
 		member->incarnation = from->incarnation;
@@ -352,9 +353,9 @@
 	}
 	fill_member(table, member, from);
 	if (!is_over(member))
-		member->over_ms = 0;
-	else if (!member->over_ms)
-		member->over_ms = now_ms;
+		member->ended_ms = 0;
+	else if (!member->ended_ms)
+		member->ended_ms = now_ms;
 	make_current(table, member);
 	place_everywhere(table, member, now_ms);
 }
@@ -380,23 +381,24 @@
 	}
 }
 
-route_service_t *route_table_service(route_table_t *table, uint64_t service)
+route_service_t *route_table_find_service(route_table_t *table,
+					  uint64_t service)
 {
 	return g_hash_table_lookup(table->by_service, &service);
 }
 
-route_member_t *route_table_incarnation(route_table_t *table,
-					uint64_t incarnation)
+route_member_t *route_table_find_incarnation(route_table_t *table,
+					     uint64_t incarnation)
 {
 	return g_hash_table_lookup(table->members, &incarnation);
 }
 
-route_member_t *route_table_current(route_table_t *table, uint64_t id)
+route_member_t *route_table_find_current(route_table_t *table, uint64_t id)
 {
 	return g_hash_table_lookup(table->current, &id);
 }
 
-unsigned route_table_balancers(const route_table_t *table)
+unsigned route_table_balancer_count(const route_table_t *table)
 {
 	guint count = g_hash_table_size(table->balancers);
 
@@ -408,7 +410,8 @@
 
 static int is_forgotten(const route_member_t *member, uint64_t now_ms)
 {
-	return member->over_ms && now_ms - member->over_ms >= ROUTE_KEEP_MS;
+	return member->ended_ms &&
+	       now_ms - member->ended_ms >= ROUTE_ENDED_TTL_MS;
 }
 
 void route_table_expire(route_table_t *table, uint64_t now_ms)
@@ -425,7 +428,7 @@
 		member = value;
 		if (!is_forgotten(member, now_ms))
 			continue;
-		if (route_table_current(table, member->id) == member)
+		if (route_table_find_current(table, member->id) == member)
 			g_hash_table_remove(table->current, &member->id);
 		g_hash_table_iter_remove(&iter);
 	}
--- a/src/version/route_table.h
+++ b/src/version/route_table.h
@@ -13,13 +13,13 @@
 #include "dy_control.h"
 
 /* Successors of a chain of planned stops that a packet is sent along. */
-#define ROUTE_CHAIN_MAX 8
+#define ROUTE_SUCCESSOR_HOPS_MAX 8
 
 /* Longer than the longest idle time that a document is expected to allow. */
-#define ROUTE_KEEP_MS (24 * 3600 * UINT64_C(1000))
+#define ROUTE_ENDED_TTL_MS (24 * 3600 * UINT64_C(1000))
 
 typedef struct route_member {
-	uint64_t over_ms;     /* since when it is LEFT or DEAD; 0: it is not */
+	uint64_t ended_ms;    /* since when it is LEFT or DEAD; 0: it is not */
 	uint64_t incarnation; /* the key: one for each start of an agent */
 	uint64_t id;
 	dy_address_t address;
@@ -40,7 +40,7 @@
 	dy_pick_target_t *picks; /* both arrays in step */
 	route_member_t **members;
 	unsigned count;
-	unsigned room;
+	unsigned capacity;
 } route_service_t;
 
 typedef struct route_table route_table_t;
@@ -57,16 +57,17 @@
 			    uint64_t now_ms);
 
 /*
- * Forget members that have been over for ROUTE_KEEP_MS: control does, and no
- * session of them is left by then.
+ * Forget members that have been over for ROUTE_ENDED_TTL_MS: control does, and
+ * no session of them is left by then.
  */
 void route_table_expire(route_table_t *table, uint64_t now_ms);
 
 /* Each returns NULL if there is none. */
-route_service_t *route_table_service(route_table_t *table, uint64_t service);
-route_member_t *route_table_incarnation(route_table_t *table,
-					uint64_t incarnation);
-route_member_t *route_table_current(route_table_t *table, uint64_t id);
+route_service_t *route_table_find_service(route_table_t *table,
+					  uint64_t service);
+route_member_t *route_table_find_incarnation(route_table_t *table,
+					     uint64_t incarnation);
+route_member_t *route_table_find_current(route_table_t *table, uint64_t id);
 
 /* This balancer's view of a member behind a service, or NULL. */
 dy_pick_target_t *route_service_find(route_service_t *service,
@@ -77,9 +78,9 @@
 			    int evacuated, uint64_t now_ms);
 
 /* Index of a failure domain by its name; the same name, the same index. */
-uint16_t route_table_domain(route_table_t *table, const char *name);
+uint16_t route_table_domain_index(route_table_t *table, const char *name);
 
 /* Balancers that serve, this one included. */
-unsigned route_table_balancers(const route_table_t *table);
+unsigned route_table_balancer_count(const route_table_t *table);
 
 #endif
--- a/tests/fake_registry.c
+++ b/tests/fake_registry.c
@@ -50,15 +50,16 @@
 {
 	dy_command_t command;
 	dy_status_t status;
-	dy_poll_judgement_t judgement;
+	dy_poll_action_t judgement;
 
-	judgement = dy_registry_judge_poll(registry, poll, &command, &status);
+	judgement =
+		dy_registry_evaluate_poll(registry, poll, &command, &status);
 	if (judgement == DY_POLL_PROPOSE) {
 		fake_registry_apply(registry, &command);
 		if (proposed)
 			++*proposed;
-		judgement = dy_registry_judge_poll(registry, poll, &command,
-						   &status);
+		judgement = dy_registry_evaluate_poll(registry, poll, &command,
+						      &status);
 	}
 	if (judgement == DY_POLL_REFUSE)
 		return status;
@@ -67,7 +68,7 @@
 				dy_member_id(poll->info.environment,
 					     poll->info.kind, poll->info.name),
 				poll->document);
-	dy_registry_fill_poll(registry, poll, result);
+	dy_registry_fill_poll_result(registry, poll, result);
 	return DY_STATUS_OK;
 }
 
--- a/tests/test_document.c
+++ b/tests/test_document.c
@@ -33,14 +33,14 @@
 	const dy_service_t *service;
 
 	ck_assert_ptr_nonnull(document);
-	ck_assert_int_eq(dy_document_weigh(document), DY_WEIGH_IMBALANCE);
+	ck_assert_int_eq(dy_document_priority(document), DY_PRIORITY_IMBALANCE);
 	service = dy_document_service(document, 0);
 	ck_assert_ptr_eq(dy_document_find(document, service->id), service);
 	ck_assert_uint_eq(service->program, 0x2A000001);
-	ck_assert_uint_eq(service->deadline_ms, DY_SERVICE_DEADLINE_MS);
-	ck_assert(dy_service_idempotent(service, 0));
-	ck_assert(dy_service_idempotent(service, 5));
-	ck_assert(!dy_service_idempotent(service, 1));
+	ck_assert_uint_eq(service->deadline_ms, DY_SERVICE_DEFAULT_DEADLINE_MS);
+	ck_assert(dy_service_is_idempotent(service, 0));
+	ck_assert(dy_service_is_idempotent(service, 5));
+	ck_assert(!dy_service_is_idempotent(service, 1));
 	dy_document_destroy(document);
 }
 END_TEST
--- a/tests/test_document_fetch.c
+++ b/tests/test_document_fetch.c
@@ -163,8 +163,8 @@
 			base[k] = (uint8_t)g_rand_int_range(rand, 0, 2);
 			newer[k] = (uint8_t)g_rand_int_range(rand, 0, 2);
 		}
-		dy_document_patch_find(&patch, base, base_len, newer,
-				       newer_len);
+		dy_document_patch_compute(&patch, base, base_len, newer,
+					  newer_len);
 		back = dy_document_patch_apply(&patch, base, base_len,
 					       newer + patch.prefix, &len);
 		ck_assert_uint_eq(len, newer_len);
--- a/tests/test_flow_path.c
+++ b/tests/test_flow_path.c
@@ -9,7 +9,7 @@
 	dy_flow_path_t fresh = { 0 };
 
 	path = fresh;
-	ck_assert(!dy_flow_path_take_report(&path, 10, 1000));
+	ck_assert(!dy_flow_path_receive_report(&path, 10, 1000));
 }
 
 /* Send so many from from_ms on, one each 20 ms. */
@@ -26,10 +26,10 @@
 {
 	begin();
 	send_from(1010, 20);
-	ck_assert(dy_flow_path_take_report(&path, 10, 1400));
+	ck_assert(dy_flow_path_receive_report(&path, 10, 1400));
 	ck_assert(path.broken);
 	/* Told once. */
-	ck_assert(!dy_flow_path_take_report(&path, 10, 1600));
+	ck_assert(!dy_flow_path_receive_report(&path, 10, 1600));
 }
 END_TEST
 
@@ -38,11 +38,11 @@
 {
 	begin();
 	send_from(1010, 20);
-	dy_flow_path_take_report(&path, 10, 1400);
-	ck_assert(dy_flow_path_take_report(&path, 11, 1600));
+	dy_flow_path_receive_report(&path, 10, 1400);
+	ck_assert(dy_flow_path_receive_report(&path, 11, 1600));
 	ck_assert(!path.broken);
 	send_from(1610, 20);
-	ck_assert(!dy_flow_path_take_report(&path, 12, 2000));
+	ck_assert(!dy_flow_path_receive_report(&path, 12, 2000));
 	ck_assert(!path.broken);
 }
 END_TEST
@@ -51,8 +51,8 @@
 START_TEST(few_losses_break_no_path)
 {
 	begin();
-	send_from(1010, DY_FLOW_PATH_LOST - 1);
-	ck_assert(!dy_flow_path_take_report(&path, 10, 9000));
+	send_from(1010, DY_FLOW_PATH_LOST_MIN - 1);
+	ck_assert(!dy_flow_path_receive_report(&path, 10, 9000));
 	ck_assert(!path.broken);
 }
 END_TEST
@@ -65,7 +65,7 @@
 	begin();
 	for (i = 0; i < 50; i++)
 		dy_flow_path_note_sent(&path, 1195);
-	ck_assert(!dy_flow_path_take_report(&path, 10, 1200));
+	ck_assert(!dy_flow_path_receive_report(&path, 10, 1200));
 	ck_assert(!path.broken);
 }
 END_TEST
@@ -75,11 +75,11 @@
 {
 	begin();
 	send_from(1010, 20);
-	ck_assert(!dy_flow_path_take_report(&path, 0, 1400));
+	ck_assert(!dy_flow_path_receive_report(&path, 0, 1400));
 	send_from(1410, 20);
-	ck_assert(!dy_flow_path_take_report(&path, 0, 1800));
+	ck_assert(!dy_flow_path_receive_report(&path, 0, 1800));
 	send_from(1810, 20);
-	ck_assert(!dy_flow_path_take_report(&path, 2, 2200));
+	ck_assert(!dy_flow_path_receive_report(&path, 2, 2200));
 	ck_assert(!path.broken);
 }
 END_TEST
--- a/tests/test_flow_router.c
+++ b/tests/test_flow_router.c
@@ -250,11 +250,11 @@
 	fake_router_begin(2);
 	fake_router_tell_held(1, &holder, 1);
 	fake_router_set_member(1, DY_MEMBER_SUSPECT, "readings");
-	fake_router.now_ms += 10 * DY_FLOW_LOST_MS;
+	fake_router.now_ms += 10 * DY_FLOW_LOST_TIMEOUT_MS;
 	fake_router_take(1, DY_PACKET_ACK, 5);
 	ck_assert_uint_eq(fake_router.resets, 0);
 	fake_router_tell_held(1, &holder, 1);
-	fake_router.now_ms += DY_FLOW_LOST_MS + 1;
+	fake_router.now_ms += DY_FLOW_LOST_TIMEOUT_MS + 1;
 	fake_router_take(1, DY_PACKET_ACK, 5);
 	ck_assert_uint_eq(fake_router.resets, 1);
 	fake_router_end();
@@ -293,7 +293,7 @@
 START_TEST(repeatable_flow_of_an_unresponsive_agent_is_reset)
 {
 	begin_with_an_open_flow(1);
-	use_beside_a_silent_agent(DY_FLOW_UNRESPONSIVE_MS);
+	use_beside_a_silent_agent(DY_FLOW_UNRESPONSIVE_TIMEOUT_MS);
 	ck_assert_uint_eq(fake_router.resets, 0);
 	fake_router.now_ms += 200;
 	fake_router_report(2);
@@ -311,7 +311,7 @@
 START_TEST(other_flow_of_an_unresponsive_agent_waits)
 {
 	begin_with_an_open_flow(0);
-	use_beside_a_silent_agent(5 * DY_FLOW_UNRESPONSIVE_MS);
+	use_beside_a_silent_agent(5 * DY_FLOW_UNRESPONSIVE_TIMEOUT_MS);
 	ck_assert_uint_eq(fake_router.resets, 0);
 	fake_router_end();
 }
@@ -325,8 +325,8 @@
 START_TEST(agent_that_was_not_asked_is_not_unresponsive)
 {
 	begin_with_an_open_flow(1);
-	use_beside_a_silent_agent(DY_FLOW_UNRESPONSIVE_MS);
-	fake_router.now_ms += DY_FLOW_UNRESPONSIVE_MS;
+	use_beside_a_silent_agent(DY_FLOW_UNRESPONSIVE_TIMEOUT_MS);
+	fake_router.now_ms += DY_FLOW_UNRESPONSIVE_TIMEOUT_MS;
 	fake_router_report(2);
 	dy_flow_router_set_confirmed(fake_router.router, fake_router.now_ms);
 	fake_router_take(1, DY_PACKET_ACK, 5);
@@ -385,11 +385,11 @@
 	fake_router_begin(2);
 	fake_router_set_rules_of(6, "readings", NULL, 1);
 	fake_router_tell_held(1, &holder, 0);
-	use_beside_a_silent_agent(2 * DY_FLOW_UNRESPONSIVE_MS);
+	use_beside_a_silent_agent(2 * DY_FLOW_UNRESPONSIVE_TIMEOUT_MS);
 	ck_assert_uint_eq(fake_router.resets, 0);
 	fake_router_set_member(1, DY_MEMBER_SUSPECT, "readings");
 	fake_router_take(1, DY_PACKET_ACK, 5);
-	fake_router.now_ms += DY_FLOW_LOST_MS + 1;
+	fake_router.now_ms += DY_FLOW_LOST_TIMEOUT_MS + 1;
 	fake_router_take(1, DY_PACKET_ACK, 5);
 	ck_assert_uint_eq(fake_router.resets, 0);
 	ck_assert_uint_eq(fake_router.forward.window, 1);
--- a/tests/test_flow_search.c
+++ b/tests/test_flow_search.c
@@ -413,7 +413,7 @@
 	search_all(1, asked);
 	ck_assert_uint_eq(asked[5], 1);
 	memset(asked, 0, sizeof(asked));
-	fake_router.now_ms += DY_FLOW_LOST_MS + 1;
+	fake_router.now_ms += DY_FLOW_LOST_TIMEOUT_MS + 1;
 	search_all(2, asked);
 	ck_assert_uint_eq(asked[5], 0);
 	ck_assert_uint_eq(asked[4], 1);
--- a/tests/test_flow_targets.c
+++ b/tests/test_flow_targets.c
@@ -213,7 +213,7 @@
 
 	dy_flow_targets_choose(targets, SERVICE, &id, 0, list);
 	first = list[0];
-	dy_flow_targets_note_silent(targets, &first, 0);
+	dy_flow_targets_note_unanswered(targets, &first, 0);
 	ck_assert_uint_eq(
 		dy_flow_targets_choose(targets, SERVICE, &id, 1, list), 2);
 	ck_assert(!dy_address_equal(&list[0], &first));
@@ -296,13 +296,13 @@
 	dy_address_t second = agent(2);
 
 	ck_assert(!dy_flow_targets_is_lost(targets, &second,
-					   DY_FLOW_LOST_MS + 1));
+					   DY_FLOW_LOST_TIMEOUT_MS + 1));
 	set(targets, 2, 12, DY_MEMBER_SUSPECT, "d1");
 	ck_assert(!dy_flow_targets_is_lost(targets, &second, 50000));
 	ck_assert(!dy_flow_targets_is_lost(targets, &second,
-					   50000 + DY_FLOW_LOST_MS));
+					   50000 + DY_FLOW_LOST_TIMEOUT_MS));
 	ck_assert(dy_flow_targets_is_lost(targets, &second,
-					  50000 + DY_FLOW_LOST_MS + 1));
+					  50000 + DY_FLOW_LOST_TIMEOUT_MS + 1));
 	set(targets, 2, 12, DY_MEMBER_SERVING, "d1");
 	set(targets, 2, 12, DY_MEMBER_SUSPECT, "d1");
 	ck_assert(!dy_flow_targets_is_lost(targets, &second, 90000));
@@ -401,7 +401,7 @@
 	unsigned count;
 
 	ck_assert(!search(targets, 1, &count, list));
-	ck_assert_uint_eq(count, DY_FLOW_SEARCH_MAX - DY_FLOW_SEARCH_OTHERS);
+	ck_assert_uint_eq(count, DY_FLOW_SEARCH_MAX - DY_FLOW_SEARCH_RESERVED);
 	dy_flow_targets_destroy(targets);
 }
 END_TEST
--- a/tests/test_pick.c
+++ b/tests/test_pick.c
@@ -18,7 +18,7 @@
 	unsigned picked[TARGETS];
 } view_t;
 
-static void set_up(view_t *view, dy_pick_weigh_t weigh, uint32_t seed)
+static void set_up(view_t *view, dy_pick_priority_t weigh, uint32_t seed)
 {
 	int i;
 
@@ -35,7 +35,7 @@
 {
 	dy_pick_report_t load = { SLOTS, in_flight, queued, sessions, 0 };
 
-	dy_pick_answered(&view->targets[i], &load, 0, view->now_ms);
+	dy_pick_note_answer(&view->targets[i], &load, 0, view->now_ms);
 }
 
 /* Pick n times; what is picked is answered if `answered`, else stays open. */
@@ -50,10 +50,10 @@
 		if (i < 0)
 			continue;
 		view->picked[i]++;
-		dy_pick_sent(&view->targets[i], view->now_ms);
+		dy_pick_note_opening(&view->targets[i], view->now_ms);
 		if (answered)
-			dy_pick_answered(&view->targets[i], NULL, 1,
-					 view->now_ms);
+			dy_pick_note_answer(&view->targets[i], NULL, 1,
+					    view->now_ms);
 	}
 }
 
@@ -119,7 +119,7 @@
 	set_up(&view, _i, 1);
 	for (i = 0; i < TARGETS; i++)
 		report(&view, i, SLOTS, 0, 1000);
-	dy_pick_answered(&view.targets[0], &stalled, 0, view.now_ms);
+	dy_pick_note_answer(&view.targets[0], &stalled, 0, view.now_ms);
 	pick(&view, 700, 1);
 	ck_assert_uint_eq(view.picked[0], 0);
 	g_rand_free(view.rand);
@@ -138,7 +138,7 @@
 	int i;
 
 	set_up(&view, _i, 1);
-	dy_pick_answered(&view.targets[0], &stalled, 0, view.now_ms);
+	dy_pick_note_answer(&view.targets[0], &stalled, 0, view.now_ms);
 	report(&view, 1, 0, 0, CAP);
 	pick(&view, 500, 1);
 	ck_assert_uint_eq(view.picked[0] + view.picked[1], 0);
@@ -274,7 +274,7 @@
 
 	set_up(&view, _i, 1);
 	for (i = 0; i < TARGETS; i += 3)
-		dy_pick_forwarded(&view.targets[i], view.now_ms);
+		dy_pick_note_call(&view.targets[i], view.now_ms);
 	view.now_ms += view.config.stall_ms + 1;
 	pick(&view, 700, 1);
 	ck_assert_uint_eq(view.picked[0] + view.picked[3] + view.picked[6], 0);
@@ -282,7 +282,7 @@
 	pick(&view, 700, 0);
 	for (i = 0; i < TARGETS; i += 3)
 		ck_assert_uint_eq(view.picked[i], 1);
-	dy_pick_answered(&view.targets[3], NULL, 1, view.now_ms);
+	dy_pick_note_answer(&view.targets[3], NULL, 1, view.now_ms);
 	pick(&view, 700, 1);
 	ck_assert_uint_ge(view.picked[3], 50);
 	g_rand_free(view.rand);
@@ -301,7 +301,7 @@
 	set_up(&view, _i, 1);
 	for (i = 0; i < 5; i++)
 		for (n = 0; n < 10; n++)
-			dy_pick_failed(&view.targets[i], 0, view.now_ms);
+			dy_pick_note_failure(&view.targets[i], 0, view.now_ms);
 	pick(&view, 700, 0);
 	for (i = 0; i < TARGETS; i++)
 		ck_assert_uint_ge(view.picked[i], 50);
@@ -325,7 +325,7 @@
 			report(&view, i, 4, 0, 700);
 		report(&view, 0, 0, 0, 0);
 		if (n % 3)
-			dy_pick_refused(&view.targets[0]);
+			dy_pick_note_refusal(&view.targets[0]);
 	}
 	pick(&view, 700, 1);
 	ck_assert_uint_le(view.picked[0], 20);
@@ -344,10 +344,10 @@
 
 	set_up(&view, _i, 1);
 	report(&view, 0, SLOTS, 3, 100);
-	dy_pick_refused(&view.targets[0]);
+	dy_pick_note_refusal(&view.targets[0]);
 	ck_assert_uint_eq(view.targets[0].trust, DY_PICK_TRUST_FULL);
 	report(&view, 0, 1, 0, CAP);
-	dy_pick_refused(&view.targets[0]);
+	dy_pick_note_refusal(&view.targets[0]);
 	ck_assert_uint_eq(view.targets[0].trust, DY_PICK_TRUST_FULL);
 	g_rand_free(view.rand);
 }
--- a/tests/test_registry.c
+++ b/tests/test_registry.c
@@ -150,7 +150,7 @@
  */
 START_TEST(damaged_or_wrong_content_is_refused)
 {
-	const dy_registry_callbacks_t callbacks = { .check = check_bytes };
+	const dy_registry_callbacks_t callbacks = { .validate = check_bytes };
 	dy_command_t command = { .kind = DY_COMMAND_PAGE };
 	dy_content_page_t *page = &command.dy_command_t_u.page;
 	const dy_change_result_t *answer;
@@ -300,8 +300,8 @@
 	fake_user_poll(&user, &poll);
 	ck_assert_int_eq(told_of("d1"), 0);
 	ck_assert(!dy_registry_is_evacuated(user.registry, "d1"));
-	ck_assert(dy_registry_knows_domain(user.registry, "d1"));
-	ck_assert(!dy_registry_knows_domain(user.registry, "d9"));
+	ck_assert(dy_registry_has_domain(user.registry, "d1"));
+	ck_assert(!dy_registry_has_domain(user.registry, "d9"));
 }
 END_TEST
 
--- a/tests/test_registry_members.c
+++ b/tests/test_registry_members.c
@@ -79,8 +79,8 @@
 	dy_command_t second;
 	dy_status_t status;
 
-	dy_registry_judge_poll(user.registry, &one, &first, &status);
-	dy_registry_judge_poll(user.registry, &two, &second, &status);
+	dy_registry_evaluate_poll(user.registry, &one, &first, &status);
+	dy_registry_evaluate_poll(user.registry, &two, &second, &status);
 	fake_registry_apply(user.registry, &first);
 	fake_registry_apply(user.registry, &second);
 	ck_assert_int_eq(fake_user_poll(&user, &two), DY_STATUS_NAME_TAKEN);
@@ -380,19 +380,19 @@
 
 	join.dy_command_t_u.join.info = poll.info;
 	join.dy_command_t_u.join.state = DY_MEMBER_SERVING;
-	for (i = 0; i < 2 * DY_REGISTRY_GONE_MAX; i++) {
+	for (i = 0; i < 2 * DY_REGISTRY_ENDED_MAX; i++) {
 		join.dy_command_t_u.join.boot = i + 1;
 		fake_registry_apply(user.registry, &join);
 		poll.incarnation = dy_registry_index(user.registry);
 		fake_user_mark(&user, &poll, DY_MARK_SUSPECT);
-		if ((i + 1) % DY_REGISTRY_GONE_MAX)
+		if ((i + 1) % DY_REGISTRY_ENDED_MAX)
 			continue;
 		saved = fake_registry_save(user.registry);
-		sizes[i / DY_REGISTRY_GONE_MAX] = saved->len;
+		sizes[i / DY_REGISTRY_ENDED_MAX] = saved->len;
 		g_byte_array_unref(saved);
 	}
 	/* The first time one fewer is gone than later. */
-	ck_assert_uint_gt(sizes[0], DY_REGISTRY_GONE_MAX * 100);
+	ck_assert_uint_gt(sizes[0], DY_REGISTRY_ENDED_MAX * 100);
 	ck_assert_uint_le(sizes[1], sizes[0] + 400);
 }
 END_TEST
