--- a/Makefile
+++ b/Makefile
@@ -125,7 +125,7 @@
 # Members and controls of the tests, in simulated time.
 $(BUILD)/bench/measure_control: ALL_CFLAGS += -Itests
 $(BUILD)/bench/measure_control: $(BUILD)/obj/bench/measure_control.o \
-		$(patsubst %,$(BUILD)/obj/tests/fake_%.o,herd group group_operator disk) \
+		$(patsubst %,$(BUILD)/obj/tests/fake_%.o,site group group_operator disk) \
 		$(LIB)
 	@mkdir -p $(@D)
 	$(CC) $(SAN) -o $@ $^ $(DEPS_LIBS)
--- a/bench/measure_control.c
+++ b/bench/measure_control.c
@@ -2,7 +2,7 @@
  * How long all members of a site take to be served after every process was
  * killed, in simulated time: the real log, poll queue, invitations and pace of
  * polls, with a processor for each control that takes a given time a message
- * (tests/fake_herd.h). Rows of key=value, or CSV; one a size and a variant.
+ * (tests/fake_site.h). Rows of key=value, or CSV; one a size and a variant.
  */
 
 #include <stdio.h>
@@ -11,7 +11,7 @@
 #include <glib.h>
 
 #include "damaskyard/log.h"
-#include "fake_herd.h"
+#include "fake_site.h"
 
 #define DEFAULT_SEED 1
 #define DEFAULT_SECONDS 10
@@ -50,32 +50,32 @@
 
 static const unsigned sizes[] = { 20, 100, 300, 1000, 3000, 12000 };
 
-static fake_herd_result_t play(unsigned members, const variant_t *variant)
+static fake_site_result_t play(unsigned members, const variant_t *variant)
 {
-	fake_herd_options_t options = {
+	fake_site_options_t options = {
 		.seed = (uint32_t)seed,
 		.members = members,
 		.controls = 5,
 		.poll_us = (unsigned)poll_us,
 		.page_us = (unsigned)poll_us / 3,
-		.look_us = (unsigned)poll_us / 18,
+		.datagram_us = (unsigned)poll_us / 18,
 		.image_bytes = 40,
 		.fixed_retry = variant->fixed_retry,
 		.no_queue = variant->no_queue,
 		.no_invitations = variant->no_invitations,
-		.leader_pages = variant->leader_pages,
+		.no_images = variant->leader_pages,
 	};
-	fake_herd_t *herd = fake_herd_create(&options);
-	fake_herd_result_t result;
+	fake_site_t *herd = fake_site_create(&options);
+	fake_site_result_t result;
 
-	fake_herd_run(herd, (uint32_t)seconds * 1000);
-	result = fake_herd_result(herd);
-	fake_herd_destroy(herd);
+	fake_site_run(herd, (uint32_t)seconds * 1000);
+	result = fake_site_result(herd);
+	fake_site_destroy(herd);
 	return result;
 }
 
 static void print_row(unsigned members, const char *variant,
-		      const fake_herd_result_t *result)
+		      const fake_site_result_t *result)
 {
 	const char *row =
 		csv ? "%u,%s,%u,%u,%u,%lu,%lu,%lu,%lu,%lu,%u\n"
@@ -85,9 +85,11 @@
 
 	printf(row, members, variant, result->balancers,
 	       result->balancers_served, result->served,
-	       (unsigned long)result->half_ms, (unsigned long)result->most_ms,
-	       (unsigned long)result->all_ms, (unsigned long)result->elections,
-	       (unsigned long)result->quorum_lost, result->asked_most);
+	       (unsigned long)result->balancers_50pct_ms,
+	       (unsigned long)result->balancers_90pct_ms,
+	       (unsigned long)result->members_100pct_ms,
+	       (unsigned long)result->elections,
+	       (unsigned long)result->quorum_lost, result->max_requests_per_s);
 	fflush(stdout);
 }
 
@@ -116,7 +118,7 @@
 
 int main(int argc, char **argv)
 {
-	fake_herd_result_t result;
+	fake_site_result_t result;
 	size_t i;
 	size_t v;
 
--- a/include/damaskyard/control.h
+++ b/include/damaskyard/control.h
@@ -62,20 +62,20 @@
 gboolean dy_peers_parse(dy_peers_t *peers, const char *text, GError **error);
 
 /* The lowest slot of peers. */
-uint32_t dy_peers_lowest(const dy_peers_t *peers);
+uint32_t dy_peers_lowest_slot(const dy_peers_t *peers);
 
 /*
  * Losses of controls at once that a group bears if nothing else is said: the
  * voters are twice that and one. Each more costs every entry two more copies.
  */
-#define DY_LOSSES_BORNE 1
+#define DY_LOSSES_DEFAULT 1
 
 /* How a control ended. */
-typedef enum dy_control_end {
+typedef enum dy_control_exit_reason {
 	DY_CONTROL_STOPPED,
 	DY_CONTROL_DISK_FAILED, /* it may be started again on the same folder */
 	DY_CONTROL_EVICTED	/* no member any more; start on an empty one */
-} dy_control_end_t;
+} dy_control_exit_reason_t;
 
 typedef struct dy_control_options {
 	uint64_t group;
@@ -89,8 +89,8 @@
 	 * control at a new address is taken in, and one that is gone for good
 	 * is let go once there are more than needed.
 	 */
-	int open;
-	/* Open groups: losses at once to be borne; 0: DY_LOSSES_BORNE. */
+	int dynamic_membership;
+	/* Open groups: losses at once to be borne; 0: DY_LOSSES_DEFAULT. */
 	unsigned losses;
 	/*
 	 * Whether bytes are a document that every process would take; writes
@@ -135,38 +135,38 @@
 void dy_control_stop(void *control);
 
 /* How the control ended; valid once the loop has ended. */
-dy_control_end_t dy_control_end(const dy_control_t *control);
+dy_control_exit_reason_t dy_control_exit_reason(const dy_control_t *control);
 
 /*
  * Documents that come from elsewhere than a `damaskyard submit`, as by another
  * door of the same process. Each callback is called once, at once or later;
  * it must not destroy the control.
  *
- * dy_control_raise() brings bytes into force in trial under number, unless
+ * dy_control_publish() brings bytes into force in trial under number, unless
  * that or a higher one is in force. The caller has judged them by the check.
  * Status OK: they are, or were overtaken. MALFORMED, with message: not a
  * document. Others: not known to be in force.
  */
-typedef void dy_control_raised_cb_t(void *context, dy_status_t status,
-				    const char *message);
-void dy_control_raise(dy_control_t *control, const uint8_t *bytes, size_t size,
-		      uint64_t number, dy_control_raised_cb_t *done,
-		      void *context);
+typedef void dy_control_done_cb_t(void *context, dy_status_t status,
+				  const char *message);
+void dy_control_publish(dy_control_t *control, const uint8_t *bytes,
+			size_t size, uint64_t number,
+			dy_control_done_cb_t *done, void *context);
 
 /*
  * Load trial's document, confirmed by a majority. With any status but OK
  * bytes is NULL; NOT_FOUND: there is none yet.
  */
-typedef void dy_control_loaded_cb_t(void *context, dy_status_t status,
-				    const uint8_t *bytes, size_t size);
-void dy_control_load(dy_control_t *control, dy_control_loaded_cb_t *done,
-		     void *context);
+typedef void dy_control_document_cb_t(void *context, dy_status_t status,
+				      const uint8_t *bytes, size_t size);
+void dy_control_read_document(dy_control_t *control,
+			      dy_control_document_cb_t *done, void *context);
 
 /*
  * An operator's order that the targets of a failure domain take no new flow,
  * or take some again. Open flows stay where they are.
  */
-typedef struct dy_domain_order {
+typedef struct dy_domain_change {
 	const char *domain;
 	int evacuated;
 	/*
@@ -174,19 +174,19 @@
 	 * confirmed the leader and before the order stands in the log; one that
 	 * nobody waits for is dropped. May be NULL.
 	 */
-	int (*wanted)(void *context);
+	int (*is_caller_waiting)(void *context);
 	/*
 	 * Called once, at once or later; must not destroy the control. OK: it
 	 * is committed, or stood already. NOT_FOUND, CONFLICT: refused for
 	 * good, with message. Others: not known to be in force.
 	 */
-	dy_control_raised_cb_t *done;
+	dy_control_done_cb_t *done;
 	void *context;
-} dy_domain_order_t;
+} dy_domain_change_t;
 
 /* Take an order, which is copied. */
-void dy_control_order_domain(dy_control_t *control,
-			     const dy_domain_order_t *order);
+void dy_control_change_domain(dy_control_t *control,
+			      const dy_domain_change_t *order);
 
 /* Address of the leader; port 0 if none is known. */
 void dy_control_leader(const dy_control_t *control, dy_address_t *leader);
--- a/include/damaskyard/invitations.h
+++ b/include/damaskyard/invitations.h
@@ -19,13 +19,13 @@
 #include <stdint.h>
 
 /* Members invited and not heard yet, at most: a few turns of the loop. */
-#define DY_INVITED_AT_ONCE 16
+#define DY_INVITATIONS_IN_FLIGHT_MAX 16
 
 /*
  * After so long, in ms, an invited member is no longer waited for: it is down,
  * or the invitation was lost, and it will ask by itself.
  */
-#define DY_INVITED_MS 150
+#define DY_INVITATION_TIMEOUT_MS 150
 
 typedef struct dy_invitations dy_invitations_t;
 
@@ -40,13 +40,13 @@
 			int is_balancer);
 
 /* A member polled, or is gone: it needs no invitation. */
-void dy_invitations_end(dy_invitations_t *invitations, uint64_t member);
+void dy_invitations_remove(dy_invitations_t *invitations, uint64_t member);
 
 /* Returns 1 with the member that is to be invited now, or 0. */
 int dy_invitations_next(dy_invitations_t *invitations, uint64_t now_ms,
 			uint64_t *member);
 
 /* Whether none is left to be invited or waited for. */
-int dy_invitations_over(const dy_invitations_t *invitations);
+int dy_invitations_is_empty(const dy_invitations_t *invitations);
 
 #endif
--- a/src/process/command/cmd_control.c
+++ b/src/process/command/cmd_control.c
@@ -149,7 +149,7 @@
 	if (control) {
 		dy_loop_on_stop(loop, dy_control_stop, control);
 		dy_loop_run(loop);
-		code = dy_control_end(control) == DY_CONTROL_DISK_FAILED
+		code = dy_control_exit_reason(control) == DY_CONTROL_DISK_FAILED
 			       ? DY_EXIT_FAILED
 			       : DY_EXIT_OK;
 		if (code != DY_EXIT_OK)
--- a/src/process/control/control.c
+++ b/src/process/control/control.c
@@ -20,7 +20,8 @@
  */
 static unsigned least_voters(const dy_control_t *control)
 {
-	if (control->options.open && !dy_registry_index(control->registry))
+	if (control->options.dynamic_membership &&
+	    !dy_registry_index(control->registry))
 		return control->options.peers.count;
 	return control->options.peers.count / 2 + 1;
 }
@@ -277,7 +278,7 @@
 	control_end(control, DY_CONTROL_DISK_FAILED);
 }
 
-void control_end(dy_control_t *control, dy_control_end_t end)
+void control_end(dy_control_t *control, dy_control_exit_reason_t end)
 {
 	control->end = end;
 	dy_loop_end(control->loop);
@@ -507,7 +508,7 @@
 		     control->request_count);
 }
 
-dy_control_end_t dy_control_end(const dy_control_t *control)
+dy_control_exit_reason_t dy_control_exit_reason(const dy_control_t *control)
 {
 	return control->end;
 }
--- a/src/process/control/control_domain.c
+++ b/src/process/control/control_domain.c
@@ -10,7 +10,7 @@
 /* An order that waits for the log. */
 typedef struct pending {
 	dy_control_t *control;
-	dy_domain_order_t order;
+	dy_domain_change_t order;
 	char domain[DY_NAME_BYTES + 1];
 	char request[16];
 } pending_t;
@@ -137,8 +137,8 @@
  */
 static int is_wanted(const pending_t *pending)
 {
-	return !pending->order.wanted ||
-	       pending->order.wanted(pending->order.context);
+	return !pending->order.is_caller_waiting ||
+	       pending->order.is_caller_waiting(pending->order.context);
 }
 
 static void on_confirmed(void *context, dy_raft_result_t result, uint64_t index)
@@ -162,8 +162,8 @@
 		propose(pending);
 }
 
-void dy_control_order_domain(dy_control_t *control,
-			     const dy_domain_order_t *order)
+void dy_control_change_domain(dy_control_t *control,
+			      const dy_domain_change_t *order)
 {
 	dy_raft_result_t result = control_admit(control);
 	pending_t *pending;
--- a/src/process/control/control_group.c
+++ b/src/process/control/control_group.c
@@ -276,7 +276,7 @@
 		return;
 	}
 	if (!store_is_empty(control)) {
-		if (control->options.open)
+		if (control->options.dynamic_membership)
 			control_ask_membership(control);
 		return;
 	}
--- a/src/process/control/control_place.c
+++ b/src/process/control/control_membership.c
@@ -35,7 +35,7 @@
 	dy_address_t address;
 	unsigned i;
 
-	if (!control->options.open)
+	if (!control->options.dynamic_membership)
 		return;
 	for (i = 0; i < config->members.members_len; i++) {
 		member = &config->members.members_val[i];
@@ -61,7 +61,7 @@
 {
 	uint32_t slot = hello->id.slot;
 
-	if (!control->options.open || !hello->empty || !slot ||
+	if (!control->options.dynamic_membership || !hello->empty || !slot ||
 	    slot > DY_RAFT_MEMBERS_MAX || slot_is_member(control, slot))
 		return;
 	control->options.peers.slots[slot] = *from;
@@ -243,7 +243,7 @@
 
 void control_check_waiting(dy_control_t *control)
 {
-	if (!control->options.open ||
+	if (!control->options.dynamic_membership ||
 	    control_now_ms(control) - control->started_ms < WAIT_IN_VAIN_MS)
 		return;
 	dy_log_event(DY_LOG_WARN, "control_waited_in_vain", "slot=%u",
@@ -285,7 +285,7 @@
 static unsigned wanted_voters(const dy_control_t *control)
 {
 	unsigned losses = control->options.losses ? control->options.losses
-						  : DY_LOSSES_BORNE;
+						  : DY_LOSSES_DEFAULT;
 
 	return 2 * losses + 1;
 }
@@ -294,7 +294,7 @@
 {
 	voters_t voters;
 
-	if (!control->options.open)
+	if (!control->options.dynamic_membership)
 		return 1;
 	count_members(control, &voters);
 	return voters.count - voters.silent < wanted_voters(control);
@@ -309,7 +309,7 @@
 {
 	voters_t voters;
 
-	if (!control->options.open)
+	if (!control->options.dynamic_membership)
 		return 0;
 	count_members(control, &voters);
 	*id = voters.silent_id;
--- a/src/process/control/control_poll.c
+++ b/src/process/control/control_poll.c
@@ -43,7 +43,7 @@
 	unsigned count = 0;
 	unsigned i;
 
-	if (!control->options.open)
+	if (!control->options.dynamic_membership)
 		return 0;
 	for (i = 0; i < config->members.members_len; i++)
 		if (count < DY_CONTROLS_MAX &&
--- a/src/process/control/control_intake.c
+++ b/src/process/control/control_poll_queue.c
@@ -233,13 +233,13 @@
 		if (member && dy_member_is_live(member) && member->port)
 			send_invitation(intake, member);
 		else
-			dy_invitations_end(intake->invitations, id);
+			dy_invitations_remove(intake->invitations, id);
 	}
 }
 
 void control_intake_heard(control_intake_t *intake, uint64_t member)
 {
-	dy_invitations_end(intake->invitations, member);
+	dy_invitations_remove(intake->invitations, member);
 	invite_some(intake);
 }
 
@@ -299,6 +299,7 @@
 {
 	uint64_t now = control_now_ms(intake->control);
 
-	return intake->led_ms && (dy_invitations_over(intake->invitations) ||
-				  now - intake->led_ms >= JOINS_WAIT_MS);
+	return intake->led_ms &&
+	       (dy_invitations_is_empty(intake->invitations) ||
+		now - intake->led_ms >= JOINS_WAIT_MS);
 }
--- a/src/process/control/control_private.h
+++ b/src/process/control/control_private.h
@@ -104,7 +104,7 @@
 	uint64_t stop_at_ms; /* 0: not stopping */
 	int transferring;
 	int failed;
-	dy_control_end_t end;
+	dy_control_exit_reason_t end;
 	uint64_t led_ms;   /* when a leader was last known */
 	uint64_t asked_ms; /* about the own membership */
 	seat_t seats[DY_RAFT_MEMBERS_MAX + 1]; /* given to newcomers */
@@ -254,7 +254,7 @@
 void control_receive_group(dy_control_t *control, const dy_sealed_t *message,
 			   const struct sockaddr *from);
 /* End the loop, and with it the control's life. */
-void control_end(dy_control_t *control, dy_control_end_t end);
+void control_end(dy_control_t *control, dy_control_exit_reason_t end);
 
 /* control_place.c: an open group. */
 void control_refresh_peers(dy_control_t *control);
--- a/src/process/control/control_raise.c
+++ b/src/process/control/control_publish.c
@@ -33,7 +33,7 @@
 	uint64_t number;
 	uint8_t *bytes;
 	uint32_t size;
-	dy_control_raised_cb_t *done;
+	dy_control_done_cb_t *done;
 	void *context;
 } order_t;
 
@@ -238,9 +238,9 @@
 	return NULL;
 }
 
-void dy_control_raise(dy_control_t *control, const uint8_t *bytes, size_t size,
-		      uint64_t number, dy_control_raised_cb_t *done,
-		      void *context)
+void dy_control_publish(dy_control_t *control, const uint8_t *bytes,
+			size_t size, uint64_t number,
+			dy_control_done_cb_t *done, void *context)
 {
 	control_raises_t *raises = control->raises;
 	order_t *order = find_free(raises);
@@ -265,7 +265,7 @@
 
 typedef struct load {
 	dy_control_t *control;
-	dy_control_loaded_cb_t *done;
+	dy_control_document_cb_t *done;
 	void *context;
 } load_t;
 
@@ -291,8 +291,8 @@
 	g_free(load);
 }
 
-void dy_control_load(dy_control_t *control, dy_control_loaded_cb_t *done,
-		     void *context)
+void dy_control_read_document(dy_control_t *control,
+			      dy_control_document_cb_t *done, void *context)
 {
 	dy_raft_result_t result = control_admit(control);
 	load_t *load;
--- a/src/process/control/invitations.c
+++ b/src/process/control/invitations.c
@@ -72,7 +72,7 @@
 	g_hash_table_remove(invitations->guests, &guest->member);
 }
 
-void dy_invitations_end(dy_invitations_t *invitations, uint64_t member)
+void dy_invitations_remove(dy_invitations_t *invitations, uint64_t member)
 {
 	guest_t *guest = g_hash_table_lookup(invitations->guests, &member);
 
@@ -91,7 +91,7 @@
 	guest_t *guest;
 
 	while ((guest = first_of(&invitations->invited)) &&
-	       now_ms - guest->invited_ms >= DY_INVITED_MS)
+	       now_ms - guest->invited_ms >= DY_INVITATION_TIMEOUT_MS)
 		end_guest(invitations, guest);
 }
 
@@ -101,7 +101,7 @@
 	guest_t *guest;
 
 	drop_late(invitations, now_ms);
-	if (invitations->invited_count >= DY_INVITED_AT_ONCE)
+	if (invitations->invited_count >= DY_INVITATIONS_IN_FLIGHT_MAX)
 		return 0;
 	guest = first_of(&invitations->balancers);
 	if (!guest)
@@ -117,7 +117,7 @@
 	return 1;
 }
 
-int dy_invitations_over(const dy_invitations_t *invitations)
+int dy_invitations_is_empty(const dy_invitations_t *invitations)
 {
 	return !g_hash_table_size(invitations->guests);
 }
--- a/src/process/control/operator_door.c
+++ b/src/process/control/operator_api.c
@@ -1,4 +1,4 @@
-#include "operator_door.h"
+#include "operator_api.h"
 
 #include <string.h>
 
@@ -13,7 +13,7 @@
  */
 #define BODY_MAX_BYTES (4 * 1024 * 1024)
 
-struct operator_door {
+struct operator_api {
 	dy_http_server_t *http;
 	dy_control_t *control;
 	dy_address_t listen;
@@ -31,14 +31,14 @@
 
 /* An order that waits for the log. */
 typedef struct order {
-	operator_door_t *door;
+	operator_api_t *door;
 	dy_http_exchange_t *exchange;
 	char *path; /* of the call, for a redirect */
 	uint64_t version;
 	uint64_t began_ms;
 } order_t;
 
-static order_t *begin_order(operator_door_t *door, dy_http_exchange_t *exchange,
+static order_t *begin_order(operator_api_t *door, dy_http_exchange_t *exchange,
 			    const char *path)
 {
 	order_t *order = g_new0(order_t, 1);
@@ -56,14 +56,14 @@
 	g_free(order);
 }
 
-static void answer_unavailable(operator_door_t *door,
+static void answer_unavailable(operator_api_t *door,
 			       dy_http_exchange_t *exchange)
 {
 	++*door->unavailable;
 	dy_http_answer_status(exchange, 503);
 }
 
-static void answer_invalid(operator_door_t *door, dy_http_exchange_t *exchange,
+static void answer_invalid(operator_api_t *door, dy_http_exchange_t *exchange,
 			   const char *message)
 {
 	++*door->invalid;
@@ -80,7 +80,7 @@
  */
 static int redirect(const order_t *order)
 {
-	operator_door_t *door = order->door;
+	operator_api_t *door = order->door;
 	char text[DY_ADDRESS_TEXT_BYTES];
 	dy_http_answer_t answer = { .status = 307 };
 	dy_address_t leader;
@@ -104,7 +104,7 @@
 static void on_raised(void *context, dy_status_t status, const char *message)
 {
 	order_t *order = context;
-	operator_door_t *door = order->door;
+	operator_api_t *door = order->door;
 	uint64_t now = dy_loop_now_ms(door->loop);
 
 	if (dy_log_allow(&door->limit, "configuration_decided", now))
@@ -127,7 +127,7 @@
  * Judged before any version is compared: what is invalid is refused also
  * where a higher version is in force, and by a control that does not lead.
  */
-static void submit(operator_door_t *door, dy_http_exchange_t *exchange,
+static void submit(operator_api_t *door, dy_http_exchange_t *exchange,
 		   const dy_http_request_t *request)
 {
 	GError *error = NULL;
@@ -147,8 +147,8 @@
 	order->version = dy_flow_rules_version(rules);
 	dy_flow_rules_destroy(rules);
 	packed = dy_document_pack(request->body, request->body_len);
-	dy_control_raise(door->control, packed->data, packed->len,
-			 order->version, on_raised, order);
+	dy_control_publish(door->control, packed->data, packed->len,
+			   order->version, on_raised, order);
 	g_byte_array_unref(packed);
 }
 
@@ -172,13 +172,13 @@
 	free_order(order);
 }
 
-static void read_configuration(operator_door_t *door,
+static void read_configuration(operator_api_t *door,
 			       dy_http_exchange_t *exchange,
 			       const dy_http_request_t *request)
 {
 	++*door->reads;
-	dy_control_load(door->control, on_loaded,
-			begin_order(door, exchange, request->path));
+	dy_control_read_document(door->control, on_loaded,
+				 begin_order(door, exchange, request->path));
 }
 
 static int is_wanted(void *context)
@@ -192,7 +192,7 @@
 			      const char *message)
 {
 	order_t *order = context;
-	operator_door_t *door = order->door;
+	operator_api_t *door = order->door;
 	uint64_t now = dy_loop_now_ms(door->loop);
 
 	if (dy_log_allow(&door->limit, "domain_order_decided", now))
@@ -214,19 +214,19 @@
 	free_order(order);
 }
 
-static void order_domain(operator_door_t *door, dy_http_exchange_t *exchange,
+static void order_domain(operator_api_t *door, dy_http_exchange_t *exchange,
 			 const dy_http_request_t *request, const char *domain,
 			 int evacuated)
 {
-	dy_domain_order_t order = { 0 };
+	dy_domain_change_t order = { 0 };
 
 	++*door->domain_orders;
 	order.domain = domain;
 	order.evacuated = evacuated;
-	order.wanted = is_wanted;
+	order.is_caller_waiting = is_wanted;
 	order.done = on_domain_ordered;
 	order.context = begin_order(door, exchange, request->path);
-	dy_control_order_domain(door->control, &order);
+	dy_control_change_domain(door->control, &order);
 }
 
 static int is_served(platform_call_t call)
@@ -239,7 +239,7 @@
 static void on_request(void *context, dy_http_exchange_t *exchange,
 		       const dy_http_request_t *request)
 {
-	operator_door_t *door = context;
+	operator_api_t *door = context;
 	platform_call_t call;
 	const char *id;
 
@@ -265,12 +265,11 @@
 			     call == PLATFORM_CALL_EVACUATE);
 }
 
-operator_door_t *operator_door_create(dy_loop_t *loop, dy_metrics_t *metrics,
-				      const dy_address_t *listen,
-				      GError **error)
+operator_api_t *operator_api_create(dy_loop_t *loop, dy_metrics_t *metrics,
+				    const dy_address_t *listen, GError **error)
 {
 	static const dy_log_limit_t limit = DY_LOG_LIMIT_INIT(50, 1000);
-	operator_door_t *door = g_new0(operator_door_t, 1);
+	operator_api_t *door = g_new0(operator_api_t, 1);
 	dy_http_config_t config = { 0 };
 
 	door->loop = loop;
@@ -299,7 +298,7 @@
 	return NULL;
 }
 
-void operator_door_destroy(operator_door_t *door)
+void operator_api_destroy(operator_api_t *door)
 {
 	if (!door)
 		return;
@@ -307,13 +306,13 @@
 	g_free(door);
 }
 
-void operator_door_set_control(operator_door_t *door, dy_control_t *control)
+void operator_api_set_control(operator_api_t *door, dy_control_t *control)
 {
 	door->control = control;
 }
 
-int operator_door_check(void *context, const uint8_t *bytes, size_t size,
-			char *message, size_t message_size)
+int operator_api_check_document(void *context, const uint8_t *bytes,
+				size_t size, char *message, size_t message_size)
 {
 	GByteArray *plain = dy_document_unpack(bytes, size, BODY_MAX_BYTES);
 	GError *error = NULL;
--- a/src/process/control/operator_door.h
+++ b/src/process/control/operator_api.h
@@ -1,5 +1,5 @@
-#ifndef DAMASKYARD_OPERATOR_DOOR_H
-#define DAMASKYARD_OPERATOR_DOOR_H
+#ifndef DAMASKYARD_OPERATOR_API_H
+#define DAMASKYARD_OPERATOR_API_H
 
 /*
  * The platform's operator at a control: submits configurations and reads the
@@ -10,23 +10,23 @@
 #include "damaskyard/control.h"
 #include "damaskyard/http.h"
 
-typedef struct operator_door operator_door_t;
+typedef struct operator_api operator_api_t;
 
 /*
  * Open the door at listen. The control is asked by reference and must be
  * destroyed before the door, so that all that waits is answered. Returns NULL
  * with error set if the address cannot be bound.
  */
-operator_door_t *operator_door_create(dy_loop_t *loop, dy_metrics_t *metrics,
-				      const dy_address_t *listen,
-				      GError **error);
-void operator_door_destroy(operator_door_t *door);
+operator_api_t *operator_api_create(dy_loop_t *loop, dy_metrics_t *metrics,
+				    const dy_address_t *listen, GError **error);
+void operator_api_destroy(operator_api_t *door);
 
 /* Serve from now on, or answer 503 to all with NULL. */
-void operator_door_set_control(operator_door_t *door, dy_control_t *control);
+void operator_api_set_control(operator_api_t *door, dy_control_t *control);
 
 /* A dy_control_options_t's check: the platform's configuration. */
-int operator_door_check(void *context, const uint8_t *bytes, size_t size,
-			char *message, size_t message_size);
+int operator_api_check_document(void *context, const uint8_t *bytes,
+				size_t size, char *message,
+				size_t message_size);
 
 #endif
--- a/src/process/flow/cmd_flow_control.c
+++ b/src/process/flow/cmd_flow_control.c
@@ -11,7 +11,7 @@
 #include "damaskyard/store.h"
 #include "flow_member.h"
 #include "metrics_page.h"
-#include "operator_door.h"
+#include "operator_api.h"
 #include "place.h"
 
 /* Number of the group: there is one where the seeds are told by a platform. */
@@ -43,10 +43,10 @@
 	options->group = GROUP;
 	options->folder = settings->data;
 	options->listen = settings->inner;
-	options->open = 1;
+	options->dynamic_membership = 1;
 	options->losses = settings->losses;
 	options->domains = settings->domains;
-	options->check = operator_door_check;
+	options->check = operator_api_check_document;
 	options->snapshot_bytes = SNAPSHOT_BYTES;
 	options->first_election_ms = FIRST_ELECTION_MS;
 	options->secrets = settings->secrets;
@@ -71,32 +71,32 @@
 
 /* One life of the control. FALSE with error set if it could not begin. */
 static gboolean run(flow_member_t *member, const dy_control_options_t *options,
-		    dy_control_end_t *end, GError **error)
+		    dy_control_exit_reason_t *end, GError **error)
 {
 	dy_metrics_t *metrics = dy_metrics_create();
 	dy_loop_t *loop = dy_loop_create(metrics);
 	host_t host = { &member->settings, member->path };
 	dy_control_t *control = NULL;
 	metrics_page_t *page = NULL;
-	operator_door_t *door;
+	operator_api_t *door;
 
-	door = operator_door_create(loop, metrics, &member->settings.control,
-				    error);
+	door = operator_api_create(loop, metrics, &member->settings.control,
+				   error);
 	if (door && member->settings.metrics.port)
 		page = metrics_page_create(loop, metrics,
 					   &member->settings.metrics, error);
 	if (door && (page || !member->settings.metrics.port))
 		control = dy_control_create(loop, metrics, options, error);
 	if (control) {
-		operator_door_set_control(door, control);
+		operator_api_set_control(door, control);
 		dy_loop_on_stop(loop, dy_control_stop, control);
 		dy_loop_on_reload(loop, on_settings, &host);
 		dy_loop_every(loop, FLOW_SETTINGS_MS, on_settings, &host);
 		dy_loop_run(loop);
-		*end = dy_control_end(control);
+		*end = dy_control_exit_reason(control);
 	}
 	dy_control_destroy(control);
-	operator_door_destroy(door);
+	operator_api_destroy(door);
 	metrics_page_destroy(page);
 	dy_loop_destroy(loop);
 	dy_metrics_destroy(metrics);
@@ -138,7 +138,7 @@
 static int live(flow_member_t *member)
 {
 	dy_control_options_t options;
-	dy_control_end_t end;
+	dy_control_exit_reason_t end;
 	GError *error = NULL;
 	int placed;
 
--- a/src/process/group/founding.c
+++ b/src/process/group/founding.c
@@ -34,7 +34,7 @@
 {
 	uint32_t slot;
 
-	if (dy_peers_lowest(founding->peers) != founding->slot)
+	if (dy_peers_lowest_slot(founding->peers) != founding->slot)
 		return 0;
 	for (slot = 1; slot <= DY_RAFT_MEMBERS_MAX; slot++) {
 		if (!founding->peers->slots[slot].port ||
--- a/src/process/group/peers.c
+++ b/src/process/group/peers.c
@@ -50,7 +50,7 @@
 	return ok;
 }
 
-uint32_t dy_peers_lowest(const dy_peers_t *peers)
+uint32_t dy_peers_lowest_slot(const dy_peers_t *peers)
 {
 	uint32_t slot = 1;
 
--- a/tests/fake_control.c
+++ b/tests/fake_control.c
@@ -16,15 +16,16 @@
 {
 	fake_control_t *fake = context;
 
-	if (++fake->ticks >= fake->wait_ticks || (fake->until && *fake->until))
+	if (++fake->ticks >= fake->max_ticks ||
+	    (fake->stop_flag && *fake->stop_flag))
 		dy_loop_end(fake->loop);
 }
 
 void fake_control_run(fake_control_t *fake, unsigned ticks, const int *until)
 {
 	fake->ticks = 0;
-	fake->wait_ticks = ticks;
-	fake->until = until;
+	fake->max_ticks = ticks;
+	fake->stop_flag = until;
 	dy_loop_run(fake->loop);
 }
 
@@ -35,7 +36,7 @@
 	dy_loop_every(fake->loop, TICK_MS, on_tick, fake);
 }
 
-dy_address_t fake_control_port(fake_control_t *fake)
+dy_address_t fake_control_unused_address(fake_control_t *fake)
 {
 	dy_address_t address;
 	dy_endpoint_t *probe;
@@ -59,10 +60,10 @@
 	options->group = 1;
 	options->slot = 1;
 	options->folder = fake->folder;
-	options->listen = fake_control_port(fake);
+	options->listen = fake_control_unused_address(fake);
 	options->peers.count = 1;
 	options->peers.slots[1] = options->listen;
-	options->open = 1;
+	options->dynamic_membership = 1;
 	options->secrets.count = 1;
 	options->leases.lease_ms = LONG_MS;
 	options->leases.keep_ms = LONG_MS;
--- a/tests/fake_control.h
+++ b/tests/fake_control.h
@@ -15,8 +15,8 @@
 	dy_control_t *control;
 	dy_control_options_t options; /* of a group of its own alone */
 	unsigned ticks;
-	unsigned wait_ticks;
-	const int *until;
+	unsigned max_ticks;
+	const int *stop_flag;
 } fake_control_t;
 
 /* Prepare all but the control; options may be changed before the start. */
@@ -32,7 +32,7 @@
 void fake_control_run(fake_control_t *fake, unsigned ticks, const int *until);
 
 /* A loopback address that nobody is bound to. */
-dy_address_t fake_control_port(fake_control_t *fake);
+dy_address_t fake_control_unused_address(fake_control_t *fake);
 
 void fake_control_remove_folder(char *folder);
 
--- a/tests/fake_herd.c
+++ b/tests/fake_site.c
@@ -1,4 +1,4 @@
-#include "fake_herd.h"
+#include "fake_site.h"
 
 #include <string.h>
 
@@ -51,7 +51,7 @@
 } member_t;
 
 typedef struct control {
-	fake_herd_t *herd;
+	fake_site_t *herd;
 	unsigned slot;
 	GQueue inbox; /* datagram_t */
 	dy_poll_queue_t *queue;
@@ -61,8 +61,8 @@
 	unsigned asked; /* in this second */
 } control_t;
 
-struct fake_herd {
-	fake_herd_options_t options;
+struct fake_site {
+	fake_site_options_t options;
 	fake_group_t *group;
 	uint64_t started_ms;
 	member_t *members;
@@ -70,7 +70,7 @@
 	control_t controls[FAKE_GROUP_MAX];
 	GQueue due[SLOTS];
 	unsigned balancers;
-	fake_herd_result_t result;
+	fake_site_result_t result;
 	uint64_t first_won;
 	uint64_t elections_before;
 	uint64_t lost_before;
@@ -83,17 +83,17 @@
 	uint32_t xid;
 } request_t;
 
-static uint64_t now_ms(const fake_herd_t *herd)
+static uint64_t now_ms(const fake_site_t *herd)
 {
 	return herd->group->now_ms;
 }
 
-static unsigned control_count(const fake_herd_t *herd)
+static unsigned control_count(const fake_site_t *herd)
 {
 	return MAX(herd->options.controls, 1);
 }
 
-static int is_balancer(const fake_herd_t *herd, unsigned member)
+static int is_balancer(const fake_site_t *herd, unsigned member)
 {
 	return member < herd->balancers;
 }
@@ -113,7 +113,7 @@
 	return (unsigned)ip[13] << 16 | (unsigned)ip[14] << 8 | ip[15];
 }
 
-static void send_later(fake_herd_t *herd, const datagram_t *datagram)
+static void send_later(fake_site_t *herd, const datagram_t *datagram)
 {
 	g_queue_push_tail(&herd->due[(now_ms(herd) + WAY_MS) % SLOTS],
 			  g_memdup2(datagram, sizeof(*datagram)));
@@ -121,17 +121,17 @@
 
 /* Members. */
 
-static unsigned page_count(const fake_herd_t *herd)
+static unsigned page_count(const fake_site_t *herd)
 {
 	unsigned agents = herd->options.members - herd->balancers;
 
-	if (herd->options.leader_pages)
+	if (herd->options.no_images)
 		return (agents + PAGE_MEMBERS - 1) / PAGE_MEMBERS;
 	/* The question for the image is as dear as a page. */
 	return 2 + agents * herd->options.image_bytes / PAGE_BYTES;
 }
 
-static void start_member(fake_herd_t *herd, unsigned index)
+static void start_member(fake_site_t *herd, unsigned index)
 {
 	member_t *member = &herd->members[index];
 	uint32_t seed = g_rand_int(herd->group->rand);
@@ -146,7 +146,7 @@
 	herd->joined[index] = 0;
 }
 
-static void send_question(fake_herd_t *herd, unsigned index, kind_t kind,
+static void send_question(fake_site_t *herd, unsigned index, kind_t kind,
 			  unsigned control)
 {
 	datagram_t datagram = { kind, index, control, herd->members[index].xid,
@@ -155,7 +155,7 @@
 	send_later(herd, &datagram);
 }
 
-static void poll_if_due(fake_herd_t *herd, unsigned index)
+static void poll_if_due(fake_site_t *herd, unsigned index)
 {
 	member_t *member = &herd->members[index];
 	uint64_t now = now_ms(herd);
@@ -176,44 +176,44 @@
 	send_question(herd, index, KIND_POLL, member->control);
 }
 
-static void ask_page(fake_herd_t *herd, unsigned index)
+static void ask_page(fake_site_t *herd, unsigned index)
 {
 	herd->members[index].page_sent_ms = now_ms(herd);
 	send_question(herd, index, KIND_PAGE,
 		      herd->members[index].image_control);
 }
 
-static void begin_image(fake_herd_t *herd, unsigned index)
+static void begin_image(fake_site_t *herd, unsigned index)
 {
 	member_t *member = &herd->members[index];
 
 	if (!member->pages_left || member->image_begun ||
-	    herd->options.leader_pages)
+	    herd->options.no_images)
 		return;
 	member->image_begun = 1;
 	ask_page(herd, index);
 }
 
-static void note_served(fake_herd_t *herd, unsigned index)
+static void note_served(fake_site_t *herd, unsigned index)
 {
 	uint64_t since = now_ms(herd) - herd->started_ms;
-	fake_herd_result_t *result = &herd->result;
+	fake_site_result_t *result = &herd->result;
 
 	if (herd->members[index].served)
 		return;
 	herd->members[index].served = 1;
 	if (++result->served == herd->options.members)
-		result->all_ms = since;
+		result->members_100pct_ms = since;
 	if (!is_balancer(herd, index))
 		return;
 	result->balancers_served++;
 	if (result->balancers_served == (herd->balancers + 1) / 2)
-		result->half_ms = since;
+		result->balancers_50pct_ms = since;
 	if (result->balancers_served == (herd->balancers * 9 + 9) / 10)
-		result->most_ms = since;
+		result->balancers_90pct_ms = since;
 }
 
-static void take_served(fake_herd_t *herd, unsigned index, uint64_t poll_ms)
+static void take_served(fake_site_t *herd, unsigned index, uint64_t poll_ms)
 {
 	member_t *member = &herd->members[index];
 
@@ -225,13 +225,13 @@
 		return;
 	}
 	begin_image(herd, index);
-	if (!herd->options.leader_pages)
+	if (!herd->options.no_images)
 		return;
 	member->pages_left--;
 	dy_poll_pace_hasten(&member->pace, now_ms(herd));
 }
 
-static void take_turned_away(fake_herd_t *herd, unsigned index, int leader)
+static void take_turned_away(fake_site_t *herd, unsigned index, int leader)
 {
 	member_t *member = &herd->members[index];
 
@@ -248,7 +248,7 @@
 	member->followed = !member->followed;
 }
 
-static void member_takes(fake_herd_t *herd, const datagram_t *datagram)
+static void member_takes(fake_site_t *herd, const datagram_t *datagram)
 {
 	member_t *member = &herd->members[datagram->member];
 
@@ -274,7 +274,7 @@
 	poll_if_due(herd, datagram->member);
 }
 
-static void tick_member(fake_herd_t *herd, unsigned index)
+static void tick_member(fake_site_t *herd, unsigned index)
 {
 	member_t *member = &herd->members[index];
 
@@ -335,7 +335,7 @@
 	while (dy_invitations_next(control->invitations, now_ms(control->herd),
 				   &member)) {
 		invitation.member = (unsigned)member;
-		work(control, control->herd->options.look_us);
+		work(control, control->herd->options.datagram_us);
 		send_later(control->herd, &invitation);
 	}
 }
@@ -348,7 +348,7 @@
 	send_answer(control, request->member, request->xid, status);
 	dy_poll_queue_complete(control->queue, &from, request->xid);
 	if (!status) {
-		dy_invitations_end(control->invitations, request->member);
+		dy_invitations_remove(control->invitations, request->member);
 		invite_some(control);
 	}
 	g_free(request);
@@ -373,7 +373,7 @@
 /* A member that has not joined costs an entry of the log, another a read. */
 static void begin_poll(control_t *control, unsigned member, uint32_t xid)
 {
-	fake_herd_t *herd = control->herd;
+	fake_site_t *herd = control->herd;
 	request_t *request = g_new0(request_t, 1);
 	uint64_t entry[16] = { 0 };
 	dy_raft_result_t result;
@@ -395,7 +395,7 @@
 
 static void take_datagram(control_t *control, const datagram_t *datagram)
 {
-	fake_herd_t *herd = control->herd;
+	fake_site_t *herd = control->herd;
 	dy_address_t from = address_of(datagram->member);
 	datagram_t page = *datagram;
 
@@ -408,7 +408,7 @@
 	} else if (herd->options.no_queue) {
 		begin_poll(control, datagram->member, datagram->xid);
 	} else {
-		work(control, herd->options.look_us);
+		work(control, herd->options.datagram_us);
 		dy_poll_queue_enqueue(control->queue, &from, datagram->xid,
 				      is_balancer(herd, datagram->member),
 				      (const uint8_t *)"", 1, now_ms(herd));
@@ -467,7 +467,7 @@
 
 /* The run. */
 
-static void note_second(fake_herd_t *herd)
+static void note_second(fake_site_t *herd)
 {
 	uint64_t second = (now_ms(herd) - herd->started_ms) / 1000;
 	unsigned i;
@@ -476,14 +476,15 @@
 		return;
 	for (i = 0; i < herd->options.controls; i++) {
 		if (herd->second)
-			herd->result.asked_most = MAX(herd->result.asked_most,
-						      herd->controls[i].asked);
+			herd->result.max_requests_per_s =
+				MAX(herd->result.max_requests_per_s,
+				    herd->controls[i].asked);
 		herd->controls[i].asked = 0;
 	}
 	herd->second = second;
 }
 
-static void deliver_due(fake_herd_t *herd)
+static void deliver_due(fake_site_t *herd)
 {
 	GQueue *due = &herd->due[now_ms(herd) % SLOTS];
 	datagram_t *datagram;
@@ -500,7 +501,7 @@
 	}
 }
 
-static void step(fake_herd_t *herd)
+static void step(fake_site_t *herd)
 {
 	unsigned i;
 
@@ -520,9 +521,9 @@
 	}
 }
 
-fake_herd_t *fake_herd_create(const fake_herd_options_t *options)
+fake_site_t *fake_site_create(const fake_site_options_t *options)
 {
-	fake_herd_t *herd = g_new0(fake_herd_t, 1);
+	fake_site_t *herd = g_new0(fake_site_t, 1);
 	control_t *control;
 	unsigned i;
 
@@ -545,12 +546,12 @@
 		fake_group_crash(&herd->group->members[i], 0);
 		fake_group_start(&herd->group->members[i]);
 	}
-	fake_herd_begin_measure(herd);
-	fake_herd_restart(herd, 100);
+	fake_site_start_measurement(herd);
+	fake_site_restart(herd, 100);
 	return herd;
 }
 
-void fake_herd_destroy(fake_herd_t *herd)
+void fake_site_destroy(fake_site_t *herd)
 {
 	unsigned i;
 
@@ -570,7 +571,7 @@
 	g_free(herd);
 }
 
-void fake_herd_run(fake_herd_t *herd, uint32_t ms)
+void fake_site_run(fake_site_t *herd, uint32_t ms)
 {
 	uint64_t end = now_ms(herd) + ms;
 
@@ -578,7 +579,7 @@
 		step(herd);
 }
 
-static void flood_one(fake_herd_t *herd)
+static void flood_one(fake_site_t *herd)
 {
 	const fake_member_t *leader = fake_group_leader(herd->group);
 	datagram_t poll = { KIND_POLL, 0, 0, 0, 0, -1, 0 };
@@ -591,7 +592,7 @@
 	send_later(herd, &poll);
 }
 
-void fake_herd_flood(fake_herd_t *herd, uint32_t ms, unsigned polls_a_second)
+void fake_site_flood(fake_site_t *herd, uint32_t ms, unsigned polls_a_second)
 {
 	uint64_t end = now_ms(herd) + ms;
 	uint64_t due = 0;
@@ -603,7 +604,7 @@
 	}
 }
 
-void fake_herd_restart(fake_herd_t *herd, unsigned percent)
+void fake_site_restart(fake_site_t *herd, unsigned percent)
 {
 	unsigned i;
 
@@ -612,7 +613,7 @@
 			start_member(herd, i);
 }
 
-void fake_herd_begin_measure(fake_herd_t *herd)
+void fake_site_start_measurement(fake_site_t *herd)
 {
 	unsigned i;
 
@@ -623,9 +624,9 @@
 		herd->members[i].served = 0;
 }
 
-fake_herd_result_t fake_herd_result(const fake_herd_t *herd)
+fake_site_result_t fake_site_result(const fake_site_t *herd)
 {
-	fake_herd_result_t result = herd->result;
+	fake_site_result_t result = herd->result;
 
 	result.balancers = herd->balancers;
 	result.elections = fake_group_counter(herd->group, "raft_elections") -
@@ -636,7 +637,7 @@
 	return result;
 }
 
-fake_group_t *fake_herd_group(fake_herd_t *herd)
+fake_group_t *fake_site_group(fake_site_t *herd)
 {
 	return herd->group;
 }
--- a/tests/test_control.c
+++ b/tests/test_control.c
@@ -534,7 +534,8 @@
 	xdr_free((xdrproc_t)xdr_dy_poll_result_t, (char *)&joined);
 	dy_control_stop(bench->control);
 	dy_loop_run(bench->loop);
-	ck_assert_int_eq(dy_control_end(bench->control), DY_CONTROL_STOPPED);
+	ck_assert_int_eq(dy_control_exit_reason(bench->control),
+			 DY_CONTROL_STOPPED);
 	close_bench(bench);
 }
 END_TEST
--- a/tests/test_control_domain.c
+++ b/tests/test_control_domain.c
@@ -47,15 +47,15 @@
 
 static void send_order(outcome_t *outcome, const char *domain, int evacuated)
 {
-	dy_domain_order_t order = { 0 };
+	dy_domain_change_t order = { 0 };
 
 	outcome->known = 0;
 	order.domain = domain;
 	order.evacuated = evacuated;
-	order.wanted = is_wanted;
+	order.is_caller_waiting = is_wanted;
 	order.done = on_done;
 	order.context = outcome;
-	dy_control_order_domain(world.control, &order);
+	dy_control_change_domain(world.control, &order);
 }
 
 /* As an operator does: again, until there is a clear answer. */
--- a/tests/test_control_raise.c
+++ b/tests/test_control_publish.c
@@ -67,8 +67,8 @@
 static void raise_one(outcome_t *outcome, uint64_t number, const char *text)
 {
 	outcome->known = 0;
-	dy_control_raise(world.control, (const uint8_t *)text, strlen(text),
-			 number, on_raised, outcome);
+	dy_control_publish(world.control, (const uint8_t *)text, strlen(text),
+			   number, on_raised, outcome);
 }
 
 static outcome_t load(void)
@@ -77,7 +77,7 @@
 
 	do {
 		outcome.known = 0;
-		dy_control_load(world.control, on_loaded, &outcome);
+		dy_control_read_document(world.control, on_loaded, &outcome);
 		wait_for(&outcome.known);
 		if (outcome.status == DY_STATUS_NOT_LEADER ||
 		    outcome.status == DY_STATUS_UNAVAILABLE)
@@ -100,7 +100,7 @@
 	raise_one(&raised, 1, "one");
 	ck_assert(raised.known);
 	ck_assert_int_ne(raised.status, DY_STATUS_OK);
-	dy_control_load(world.control, on_loaded, &loaded);
+	dy_control_read_document(world.control, on_loaded, &loaded);
 	ck_assert(loaded.known);
 	ck_assert_int_ne(loaded.status, DY_STATUS_OK);
 	ck_assert_int_eq(load().status, DY_STATUS_NOT_FOUND);
--- a/tests/test_founding.c
+++ b/tests/test_founding.c
@@ -174,7 +174,7 @@
 	}
 	ck_assert(dy_peers_parse(&peers, "16=1.2.3.4:5,7=[::1]:5", NULL));
 	ck_assert_uint_eq(peers.count, 2);
-	ck_assert_uint_eq(dy_peers_lowest(&peers), 7);
+	ck_assert_uint_eq(dy_peers_lowest_slot(&peers), 7);
 }
 END_TEST
 
--- a/tests/test_herd.c
+++ b/tests/test_mass_restart.c
@@ -6,7 +6,7 @@
  * second at most, one leader, and no more questions than control can answer.
  */
 
-#include "fake_herd.h"
+#include "fake_site.h"
 
 #include "fake_suite.h"
 #include "damaskyard/log.h"
@@ -14,30 +14,30 @@
 #define AIM_MS 1000
 #define POLLS_A_SECOND 1100
 
-static const fake_herd_options_t site = {
+static const fake_site_options_t site = {
 	.members = 300,
 	.controls = 5,
 	.poll_us = 900,
 	.page_us = 300,
-	.look_us = 50,
+	.datagram_us = 50,
 	.image_bytes = 40,
 };
 
-static fake_herd_t *create(unsigned members)
+static fake_site_t *create(unsigned members)
 {
-	fake_herd_options_t options = site;
+	fake_site_options_t options = site;
 
 	dy_log_configure(DY_LOG_ERROR, NULL);
 	options.members = members;
 	options.seed = 7;
-	return fake_herd_create(&options);
+	return fake_site_create(&options);
 }
 
-static void check_calm(const fake_herd_result_t *result)
+static void check_calm(const fake_site_result_t *result)
 {
 	ck_assert_uint_eq(result->elections, 0);
 	ck_assert_uint_eq(result->quorum_lost, 0);
-	ck_assert_uint_le(result->asked_most, POLLS_A_SECOND);
+	ck_assert_uint_le(result->max_requests_per_s, POLLS_A_SECOND);
 }
 
 /*
@@ -48,52 +48,52 @@
  */
 START_TEST(all_killed_at_once_are_served_within_a_second)
 {
-	fake_herd_t *herd = create(300);
-	fake_herd_result_t result;
+	fake_site_t *herd = create(300);
+	fake_site_result_t result;
 
-	fake_herd_run(herd, 5000);
-	result = fake_herd_result(herd);
-	ck_assert_uint_gt(result.most_ms, 0);
-	ck_assert_uint_le(result.most_ms, AIM_MS);
+	fake_site_run(herd, 5000);
+	result = fake_site_result(herd);
+	ck_assert_uint_gt(result.balancers_90pct_ms, 0);
+	ck_assert_uint_le(result.balancers_90pct_ms, AIM_MS);
 	ck_assert_uint_eq(result.served, 300);
 	check_calm(&result);
-	fake_herd_destroy(herd);
+	fake_site_destroy(herd);
 }
 END_TEST
 
 /* The same by the rules of before: what the test above must be able to show. */
 START_TEST(all_killed_at_once_were_not_served_before)
 {
-	fake_herd_options_t options = site;
-	fake_herd_result_t result;
-	fake_herd_t *herd;
+	fake_site_options_t options = site;
+	fake_site_result_t result;
+	fake_site_t *herd;
 
 	dy_log_configure(DY_LOG_ERROR, NULL);
 	options.seed = 7;
 	options.fixed_retry = 1;
 	options.no_queue = 1;
 	options.no_invitations = 1;
-	options.leader_pages = 1;
-	herd = fake_herd_create(&options);
-	fake_herd_run(herd, 5000);
-	result = fake_herd_result(herd);
-	ck_assert_uint_eq(result.most_ms, 0);
-	fake_herd_destroy(herd);
+	options.no_images = 1;
+	herd = fake_site_create(&options);
+	fake_site_run(herd, 5000);
+	result = fake_site_result(herd);
+	ck_assert_uint_eq(result.balancers_90pct_ms, 0);
+	fake_site_destroy(herd);
 }
 END_TEST
 
 /* A small site is not made to wait for what a large one needs. */
 START_TEST(small_site_is_served_at_once)
 {
-	fake_herd_t *herd = create(20);
-	fake_herd_result_t result;
+	fake_site_t *herd = create(20);
+	fake_site_result_t result;
 
-	fake_herd_run(herd, 5000);
-	result = fake_herd_result(herd);
-	ck_assert_uint_gt(result.all_ms, 0);
-	ck_assert_uint_le(result.all_ms, AIM_MS / 2);
+	fake_site_run(herd, 5000);
+	result = fake_site_result(herd);
+	ck_assert_uint_gt(result.members_100pct_ms, 0);
+	ck_assert_uint_le(result.members_100pct_ms, AIM_MS / 2);
 	check_calm(&result);
-	fake_herd_destroy(herd);
+	fake_site_destroy(herd);
 }
 END_TEST
 
@@ -104,35 +104,35 @@
  */
 START_TEST(thousand_members_cannot_unseat_the_leader)
 {
-	fake_herd_t *herd = create(1000);
-	fake_herd_result_t result;
+	fake_site_t *herd = create(1000);
+	fake_site_result_t result;
 
-	fake_herd_run(herd, 8000);
-	result = fake_herd_result(herd);
-	ck_assert_uint_gt(result.most_ms, 0);
-	ck_assert_uint_le(result.most_ms, AIM_MS);
+	fake_site_run(herd, 8000);
+	result = fake_site_result(herd);
+	ck_assert_uint_gt(result.balancers_90pct_ms, 0);
+	ck_assert_uint_le(result.balancers_90pct_ms, AIM_MS);
 	ck_assert_uint_eq(result.served, 1000);
 	check_calm(&result);
-	fake_herd_destroy(herd);
+	fake_site_destroy(herd);
 }
 END_TEST
 
 /* A third of the members is restarted while the others are served. */
 START_TEST(third_restarted_is_served_within_a_second)
 {
-	fake_herd_t *herd = create(300);
-	fake_herd_result_t result;
-
-	fake_herd_run(herd, 5000);
-	fake_herd_restart(herd, 33);
-	fake_herd_begin_measure(herd);
-	fake_herd_run(herd, 5000);
-	result = fake_herd_result(herd);
-	ck_assert_uint_le(result.most_ms, AIM_MS);
+	fake_site_t *herd = create(300);
+	fake_site_result_t result;
+
+	fake_site_run(herd, 5000);
+	fake_site_restart(herd, 33);
+	fake_site_start_measurement(herd);
+	fake_site_run(herd, 5000);
+	result = fake_site_result(herd);
+	ck_assert_uint_le(result.balancers_90pct_ms, AIM_MS);
 	ck_assert_uint_eq(result.served, 300);
 	ck_assert_uint_eq(result.elections, 0);
 	ck_assert_uint_eq(result.quorum_lost, 0);
-	fake_herd_destroy(herd);
+	fake_site_destroy(herd);
 }
 END_TEST
 
@@ -143,19 +143,19 @@
  */
 START_TEST(flooded_leader_keeps_the_lead)
 {
-	fake_herd_t *herd = create(300);
-	fake_herd_result_t result;
-
-	fake_herd_run(herd, 3000);
-	fake_herd_flood(herd, 5000, 3 * POLLS_A_SECOND);
-	fake_herd_restart(herd, 10);
-	fake_herd_begin_measure(herd);
-	fake_herd_flood(herd, 5000, 3 * POLLS_A_SECOND);
-	result = fake_herd_result(herd);
+	fake_site_t *herd = create(300);
+	fake_site_result_t result;
+
+	fake_site_run(herd, 3000);
+	fake_site_flood(herd, 5000, 3 * POLLS_A_SECOND);
+	fake_site_restart(herd, 10);
+	fake_site_start_measurement(herd);
+	fake_site_flood(herd, 5000, 3 * POLLS_A_SECOND);
+	result = fake_site_result(herd);
 	ck_assert_uint_eq(result.served, 300);
 	ck_assert_uint_eq(result.elections, 0);
 	ck_assert_uint_eq(result.quorum_lost, 0);
-	fake_herd_destroy(herd);
+	fake_site_destroy(herd);
 }
 END_TEST
 
@@ -165,25 +165,25 @@
  */
 START_TEST(control_replaced_meanwhile_changes_nothing)
 {
-	fake_herd_t *herd = create(300);
-	fake_group_t *group = fake_herd_group(herd);
-	fake_herd_result_t result;
+	fake_site_t *herd = create(300);
+	fake_group_t *group = fake_site_group(herd);
+	fake_site_result_t result;
 	fake_member_t *lost;
 
-	fake_herd_run(herd, 150);
+	fake_site_run(herd, 150);
 	/* One that is at work is passed over. */
 	while (!fake_group_leader(group))
-		fake_herd_run(herd, 1);
+		fake_site_run(herd, 1);
 	lost = fake_group_other(group, fake_group_leader(group));
 	fake_group_wipe(lost);
 	fake_group_start(lost);
-	fake_herd_run(herd, 5000);
-	result = fake_herd_result(herd);
-	ck_assert_uint_le(result.most_ms, AIM_MS);
+	fake_site_run(herd, 5000);
+	result = fake_site_result(herd);
+	ck_assert_uint_le(result.balancers_90pct_ms, AIM_MS);
 	ck_assert_uint_eq(result.served, 300);
 	ck_assert_uint_eq(result.elections, 0);
 	ck_assert_uint_eq(result.quorum_lost, 0);
-	fake_herd_destroy(herd);
+	fake_site_destroy(herd);
 }
 END_TEST
 
--- a/tests/test_place.c
+++ b/tests/test_place.c
@@ -206,7 +206,7 @@
 	fake_control_init(&world);
 	world.options.check = take_any;
 	world.options.peers.count = 3;
-	world.options.peers.slots[2] = fake_control_port(&world);
+	world.options.peers.slots[2] = fake_control_unused_address(&world);
 	third.seal = dy_seal_create(&world.options.secrets, world.metrics);
 	dy_address_parse("127.0.0.1:0", &world.options.peers.slots[3]);
 	third.endpoint =
@@ -221,8 +221,8 @@
 	second = dy_control_create(world.loop, world.metrics, &options, NULL);
 	for (i = 0; i < 15; i++) {
 		fake_control_run(&world, 20, NULL);
-		dy_control_raise(world.control, (const uint8_t *)"x", 1, 1,
-				 on_raised, &status);
+		dy_control_publish(world.control, (const uint8_t *)"x", 1, 1,
+				   on_raised, &status);
 		ck_assert_int_ne(status, DY_STATUS_OK);
 	}
 	/* Both are in the group by now. */
