--- a/fuzz/fuzz_raft.c
+++ b/fuzz/fuzz_raft.c
@@ -46,7 +46,7 @@
 		if (!run->group->members[i].raft ||
 		    dy_raft_failed(run->group->members[i].raft))
 			return;
-	if (!fake_group_maintain(run->group))
+	if (!fake_group_reconcile(run->group))
 		return;
 	fake_group_wipe(member);
 	fake_group_start(member);
@@ -105,7 +105,7 @@
 		member->frozen = member->raft && !member->frozen;
 		break;
 	case 6:
-		member->side = !member->side;
+		member->partition = !member->partition;
 		break;
 	case 7:
 		fault_disk(run, member);
@@ -114,9 +114,9 @@
 		lose_disk(run, member);
 		break;
 	case 9:
-		group->loss = (int)take(run, 50);
-		group->duplication = (int)take(run, 50);
-		group->delay_ms = take(run, 100) + 1;
+		group->loss_percent = (int)take(run, 50);
+		group->duplication_percent = (int)take(run, 50);
+		group->max_delay_ms = take(run, 100) + 1;
 		break;
 	default:
 		if (member->raft && !member->frozen)
@@ -142,9 +142,9 @@
 		operate(&run);
 		fake_group_step(run.group, take(&run, 40) + 1);
 		if (operations % 3 == 0)
-			(void)fake_group_maintain(run.group);
+			(void)fake_group_reconcile(run.group);
 	}
-	fake_group_settle(run.group);
+	fake_group_converge(run.group);
 	fake_group_destroy(run.group);
 	return 0;
 }
--- a/fuzz/fuzz_store.c
+++ b/fuzz/fuzz_store.c
@@ -302,7 +302,7 @@
 	offset += take(run, 256);
 	offset %= (uint64_t)MAX(fake_disk_size(run->disk, name), 1);
 	if (dy_store_failed(run->store) ||
-	    !fake_disk_flip(run->disk, name, offset))
+	    !fake_disk_flip_bit(run->disk, name, offset))
 		return 1;
 	run->oracle.flipped = 1;
 	return reopen(run, 0);
--- a/include/damaskyard/raft.h
+++ b/include/damaskyard/raft.h
@@ -103,8 +103,8 @@
 	int (*load_snapshot)(void *context, dy_raft_read_cb_t *read,
 			     void *read_context);
 	/* Role or leader changed; may be NULL. */
-	void (*changed)(void *context, dy_raft_role_t role,
-			dy_voter_id_t leader);
+	void (*leadership_changed)(void *context, dy_raft_role_t role,
+				   dy_voter_id_t leader);
 	/*
 	 * The disk failed: this member neither votes nor acknowledges any
 	 * more, and the process should stop. error is the module's. Called
@@ -250,7 +250,7 @@
 /* The newest configuration in the log, committed or not. */
 const dy_raft_config_t *dy_raft_config(const dy_raft_t *raft);
 /* Whether the newest configuration is committed. */
-int dy_raft_config_settled(const dy_raft_t *raft);
+int dy_raft_config_is_committed(const dy_raft_t *raft);
 /* Whether a configuration names the member. */
 int dy_raft_config_has(const dy_raft_config_t *config, dy_voter_id_t id);
 /* Whether a majority answered this leader within an election timeout. */
--- a/src/process/control/control.c
+++ b/src/process/control/control.c
@@ -379,7 +379,7 @@
 		.apply = on_apply,
 		.write_snapshot = on_write_snapshot,
 		.load_snapshot = on_load_snapshot,
-		.changed = on_changed,
+		.leadership_changed = on_changed,
 		.failed = on_failed,
 	};
 	dy_raft_options_t options = { 0 };
@@ -441,8 +441,8 @@
 	control->reviewed_ms = control->started_ms;
 	dy_list_init(&control->requests);
 	control_register_counters(control);
-	founding_init(&control->founding, &control->options.peers,
-		      options->slot);
+	bootstrap_init(&control->founding, &control->options.peers,
+		       options->slot);
 	control->seal = dy_seal_create(&options->secrets, metrics);
 	control->uploads = uploads_create();
 	control->recent = recent_documents_create();
--- a/src/process/control/control_group.c
+++ b/src/process/control/control_group.c
@@ -67,9 +67,9 @@
 		return;
 	dy_address_load(&address, from);
 	control_note_newcomer(control, &hello, &address);
-	founding_hear(&control->founding, &hello, &address,
-		      hello.echo == dy_seal_sender(control->seal),
-		      control_now_ms(control));
+	bootstrap_receive_hello(&control->founding, &hello, &address,
+				hello.echo == dy_seal_sender(control->seal),
+				control_now_ms(control));
 	if (!hello.answer)
 		return;
 	send_hello(control, &address, 0, message->sender);
@@ -157,7 +157,7 @@
 		found = member->role == DY_MEMBER_VOTER ? voter : learner;
 		found->identity = member->id.identity;
 		found->lag = dy_raft_member_lag(control->raft, member->id,
-						&found->silent_ms);
+						&found->last_answer_age_ms);
 	}
 }
 
@@ -195,7 +195,7 @@
 	char text[DY_ADDRESS_TEXT_BYTES];
 
 	switch (step) {
-	case JOIN_NOTHING:
+	case JOIN_NONE:
 		return;
 	case JOIN_REFUSE:
 		refuse_join(control, id);
@@ -236,9 +236,9 @@
 			continue;
 		find_members(control, slot, &voter, &learner);
 		id.slot = slot;
-		step = founding_next_join(&control->founding, slot, &voter,
-					  &learner, control_now_ms(control),
-					  &id.identity);
+		step = bootstrap_next_join(&control->founding, slot, &voter,
+					   &learner, control_now_ms(control),
+					   &id.identity);
 		if (step == JOIN_PROMOTE && !control_wants_voter(control))
 			continue;
 		take_step(control, step, id);
@@ -255,8 +255,8 @@
 	uint32_t slot;
 
 	for (slot = 1; slot <= DY_RAFT_MEMBERS_MAX; slot++) {
-		answered += !!control->founding.heard[slot].answered;
-		empty += !!control->founding.heard[slot].empty;
+		answered += !!control->founding.peer_states[slot].answered;
+		empty += !!control->founding.peer_states[slot].empty;
 	}
 	if (control_now_ms(control) - control->started_ms >= WAITING_MS &&
 	    dy_log_allow(&control->waiting_limit, "group_awaited",
@@ -280,7 +280,7 @@
 			control_ask_membership(control);
 		return;
 	}
-	if (founding_is_due(&control->founding))
+	if (bootstrap_is_due(&control->founding))
 		found_group(control);
 	else
 		ask_peers(control);
--- a/src/process/control/control_membership.c
+++ b/src/process/control/control_membership.c
@@ -78,7 +78,7 @@
 
 	if (seat->given_ms && now_ms - seat->given_ms <= SEAT_KEPT_MS)
 		return !dy_address_equal(&seat->address, address);
-	return founding_is_wished(&control->founding, slot, now_ms) &&
+	return bootstrap_is_slot_requested(&control->founding, slot, now_ms) &&
 	       !dy_address_equal(&control->options.peers.slots[slot], address);
 }
 
@@ -129,7 +129,7 @@
 {
 	if (dy_raft_config_has(dy_raft_config(control->raft), find->id))
 		place->status = DY_PLACE_HELD;
-	else if (dy_raft_config_settled(control->raft))
+	else if (dy_raft_config_is_committed(control->raft))
 		place->status = DY_PLACE_LOST;
 }
 
@@ -275,7 +275,7 @@
 		if (member->role != DY_MEMBER_VOTER)
 			continue;
 		voters->count++;
-		if (silent_ms < MEMBER_SILENT_MS)
+		if (silent_ms < MEMBER_TIMEOUT_MS)
 			continue;
 		voters->silent++;
 		voters->silent_id = member->id;
--- a/src/process/control/control_private.h
+++ b/src/process/control/control_private.h
@@ -7,7 +7,7 @@
 #include "damaskyard/raft.h"
 #include "damaskyard/seal.h"
 #include "damaskyard/store.h"
-#include "founding.h"
+#include "bootstrap.h"
 #include "damaskyard/document.h"
 #include "damaskyard/status_service.h"
 #include "recent_documents.h"
@@ -94,7 +94,7 @@
 	uploads_t *uploads;
 	recent_documents_t *recent;
 	control_services_t *services;
-	founding_t founding;
+	bootstrap_t founding;
 	uv_prepare_t *prepare;
 	uv_check_t *check;
 	dy_list_t requests;
--- a/src/process/flow/cmd_flow_control.c
+++ b/src/process/flow/cmd_flow_control.c
@@ -12,7 +12,7 @@
 #include "flow_member.h"
 #include "metrics_page.h"
 #include "operator_api.h"
-#include "place.h"
+#include "slot_claim.h"
 
 /* Number of the group: there is one where the seeds are told by a platform. */
 #define GROUP 1
@@ -145,7 +145,7 @@
 	for (;;) {
 		fill_options(&options, &member->settings);
 		end = DY_CONTROL_DISK_FAILED;
-		placed = place_find(&options, &member->settings, &error);
+		placed = slot_claim_run(&options, &member->settings, &error);
 		if (!placed)
 			return DY_EXIT_OK;
 		if (placed > 0)
--- a/src/process/group/founding.h
+++ b/src/process/group/bootstrap.h
@@ -1,5 +1,5 @@
-#ifndef DAMASKYARD_FOUNDING_H
-#define DAMASKYARD_FOUNDING_H
+#ifndef DAMASKYARD_BOOTSTRAP_H
+#define DAMASKYARD_BOOTSTRAP_H
 
 /*
  * Who founds the group, and what the leader does for those that want in.
@@ -12,42 +12,43 @@
 #include "dy_group.h"
 
 /* A wish to join counts for so long after it was last heard, in ms. */
-#define JOIN_FRESH_MS 2000
+#define JOIN_REQUEST_TTL_MS 2000
 
 /*
  * A member that did not answer for so long, in ms, may be replaced: ten
  * elections. A second process started by mistake with a slot that is in use
  * replaces nobody.
  */
-#define MEMBER_SILENT_MS 3000
+#define MEMBER_TIMEOUT_MS 3000
 
 /* Entries that a learner may lack and still count as caught up. */
 #define CAUGHT_UP_ENTRIES 256
 
-typedef struct founding_peer {
-	int answered;	   /* to this very process */
-	int empty;	   /* at its last answer */
-	uint64_t wants_in; /* identity that asked to join, or 0 */
-	uint64_t asked_ms;
-	int in_place; /* asked from the slot's own address */
-} founding_peer_t;
+typedef struct bootstrap_peer {
+	int answered;		/* to this very process */
+	int empty;		/* at its last answer */
+	uint64_t join_identity; /* identity that asked to join, or 0 */
+	uint64_t join_requested_ms;
+	int from_slot_address; /* asked from the slot's own address */
+} bootstrap_peer_t;
 
-typedef struct founding {
+typedef struct bootstrap {
 	const dy_peers_t *peers;
 	uint32_t slot;
-	founding_peer_t heard[DY_RAFT_MEMBERS_MAX + 1];
-} founding_t;
+	bootstrap_peer_t peer_states[DY_RAFT_MEMBERS_MAX + 1];
+} bootstrap_t;
 
-void founding_init(founding_t *founding, const dy_peers_t *peers,
-		   uint32_t slot);
+void bootstrap_init(bootstrap_t *founding, const dy_peers_t *peers,
+		    uint32_t slot);
 
 /* Note a HELLO; mine: it answers one of this process. */
-void founding_hear(founding_t *founding, const dy_hello_t *hello,
-		   const dy_address_t *from, int mine, uint64_t now_ms);
+void bootstrap_receive_hello(bootstrap_t *founding, const dy_hello_t *hello,
+			     const dy_address_t *from, int mine,
+			     uint64_t now_ms);
 
 /* Whether somebody asked for that slot a short time ago. */
-int founding_is_wished(const founding_t *founding, uint32_t slot,
-		       uint64_t now_ms);
+int bootstrap_is_slot_requested(const bootstrap_t *founding, uint32_t slot,
+				uint64_t now_ms);
 
 /*
  * Whether this control, whose store is empty, founds the group.
@@ -56,10 +57,10 @@
  * lowest slot was lost: every other peer must have answered this very
  * process that it holds nothing, and one that is in a group does not.
  */
-int founding_is_due(const founding_t *founding);
+int bootstrap_is_due(const bootstrap_t *founding);
 
 typedef enum join_step {
-	JOIN_NOTHING,
+	JOIN_NONE,
 	JOIN_ADD,     /* id as a learner */
 	JOIN_PROMOTE, /* id, a learner */
 	JOIN_REMOVE,  /* id, replaced or never up */
@@ -70,7 +71,7 @@
 typedef struct join_member {
 	uint64_t identity; /* 0: there is none */
 	uint64_t lag;	   /* entries that it lacks */
-	uint64_t silent_ms;
+	uint64_t last_answer_age_ms;
 } join_member_t;
 
 /*
@@ -79,9 +80,9 @@
  * is removed, then it is promoted: in between the group votes with one less,
  * so that time is kept short.
  */
-join_step_t founding_next_join(const founding_t *founding, uint32_t slot,
-			       const join_member_t *voter,
-			       const join_member_t *learner, uint64_t now_ms,
-			       uint64_t *identity);
+join_step_t bootstrap_next_join(const bootstrap_t *founding, uint32_t slot,
+				const join_member_t *voter,
+				const join_member_t *learner, uint64_t now_ms,
+				uint64_t *identity);
 
 #endif
--- a/src/process/group/raft.c
+++ b/src/process/group/raft.c
@@ -444,9 +444,10 @@
 	    !dy_voter_id_equal(raft->leader, raft->told_leader)) {
 		raft->told_role = raft->role;
 		raft->told_leader = raft->leader;
-		if (raft->callbacks.changed)
-			raft->callbacks.changed(raft->callbacks.context,
-						raft->role, raft->leader);
+		if (raft->callbacks.leadership_changed)
+			raft->callbacks.leadership_changed(
+				raft->callbacks.context, raft->role,
+				raft->leader);
 	}
 	if (raft->failed && !raft->failure_told) {
 		raft->failure_told = 1;
--- a/src/process/group/raft_status.c
+++ b/src/process/group/raft_status.c
@@ -50,7 +50,7 @@
 	return &raft_newest_config(raft)->config;
 }
 
-int dy_raft_config_settled(const dy_raft_t *raft)
+int dy_raft_config_is_committed(const dy_raft_t *raft)
 {
 	return raft_newest_config(raft)->index <= raft->commit_index;
 }
--- a/src/process/group/place.c
+++ b/src/process/group/slot_claim.c
@@ -1,4 +1,4 @@
-#include "place.h"
+#include "slot_claim.h"
 
 #include <stdlib.h>
 #include <string.h>
@@ -157,8 +157,8 @@
 	return asker.endpoint ? 0 : -1;
 }
 
-int place_find(dy_control_options_t *options,
-	       const dy_flow_settings_t *settings, GError **error)
+int slot_claim_run(dy_control_options_t *options,
+		   const dy_flow_settings_t *settings, GError **error)
 {
 	int held = dy_store_find_slot(options->folder, &options->slot, error);
 
--- a/src/process/group/place.h
+++ b/src/process/group/slot_claim.h
@@ -1,5 +1,5 @@
-#ifndef DAMASKYARD_PLACE_H
-#define DAMASKYARD_PLACE_H
+#ifndef DAMASKYARD_SLOT_CLAIM_H
+#define DAMASKYARD_SLOT_CLAIM_H
 
 /*
  * A control's place in an open group, found before it starts.
@@ -20,7 +20,7 @@
  * are set. Runs a loop of its own while it asks. Returns 1, 0 if it was told
  * to stop meanwhile, or -1 with error set.
  */
-int place_find(dy_control_options_t *options,
-	       const dy_flow_settings_t *settings, GError **error);
+int slot_claim_run(dy_control_options_t *options,
+		   const dy_flow_settings_t *settings, GError **error);
 
 #endif
--- a/tests/fake_disk.c
+++ b/tests/fake_disk.c
@@ -54,7 +54,7 @@
 static int fake_open(void *context, const char *name, int create)
 {
 	fake_disk_t *disk = context;
-	fake_file_t *file = g_hash_table_lookup(disk->seen, name);
+	fake_file_t *file = g_hash_table_lookup(disk->cached, name);
 
 	if (stopped(disk))
 		return -EIO;
@@ -66,7 +66,7 @@
 		file->durable = g_byte_array_new();
 		file->dirty = g_byte_array_new();
 		g_ptr_array_add(disk->files, file);
-		g_hash_table_insert(disk->seen, g_strdup(name), file);
+		g_hash_table_insert(disk->cached, g_strdup(name), file);
 	}
 	g_ptr_array_add(disk->handles, file);
 	return (int)disk->handles->len - 1;
@@ -176,14 +176,14 @@
 static int fake_rename(void *context, const char *from, const char *to)
 {
 	fake_disk_t *disk = context;
-	fake_file_t *file = g_hash_table_lookup(disk->seen, from);
+	fake_file_t *file = g_hash_table_lookup(disk->cached, from);
 
 	if (stopped(disk))
 		return -EIO;
 	if (!file)
 		return -ENOENT;
-	g_hash_table_insert(disk->seen, g_strdup(to), file);
-	g_hash_table_remove(disk->seen, from);
+	g_hash_table_insert(disk->cached, g_strdup(to), file);
+	g_hash_table_remove(disk->cached, from);
 	return 0;
 }
 
@@ -193,7 +193,7 @@
 
 	if (stopped(disk))
 		return -EIO;
-	return g_hash_table_remove(disk->seen, name) ? 0 : -ENOENT;
+	return g_hash_table_remove(disk->cached, name) ? 0 : -ENOENT;
 }
 
 static void copy_names(GHashTable *to, GHashTable *from)
@@ -216,7 +216,7 @@
 		return -EIO;
 	if (count_down(&disk->syncs_left))
 		return -EIO;
-	copy_names(disk->durable, disk->seen);
+	copy_names(disk->durable, disk->cached);
 	return 0;
 }
 
@@ -233,7 +233,7 @@
 
 	if (stopped(disk))
 		return -EIO;
-	names = sorted_names(disk->seen);
+	names = sorted_names(disk->cached);
 	for (at = names; at; at = at->next)
 		each(each_context, at->data);
 	g_list_free(names);
@@ -252,17 +252,17 @@
 	disk->rand = g_rand_new_with_seed(seed);
 	disk->files = g_ptr_array_new_with_free_func(free_file);
 	disk->handles = g_ptr_array_new();
-	disk->seen =
+	disk->cached =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	disk->durable =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-	fake_disk_heal(disk);
+	fake_disk_clear_faults(disk);
 	return disk;
 }
 
 void fake_disk_destroy(fake_disk_t *disk)
 {
-	g_hash_table_destroy(disk->seen);
+	g_hash_table_destroy(disk->cached);
 	g_hash_table_destroy(disk->durable);
 	g_ptr_array_free(disk->handles, TRUE);
 	g_ptr_array_free(disk->files, TRUE);
@@ -270,7 +270,7 @@
 	g_free(disk);
 }
 
-void fake_disk_heal(fake_disk_t *disk)
+void fake_disk_clear_faults(fake_disk_t *disk)
 {
 	disk->writes_left = FAKE_DISK_NEVER;
 	disk->syncs_left = FAKE_DISK_NEVER;
@@ -282,7 +282,7 @@
 void fake_disk_restart(fake_disk_t *disk)
 {
 	g_ptr_array_set_size(disk->handles, 0);
-	fake_disk_heal(disk);
+	fake_disk_clear_faults(disk);
 }
 
 static void crash_file(fake_disk_t *disk, fake_file_t *file)
@@ -315,7 +315,7 @@
 	GList *at;
 
 	for (at = sorted; at; at = at->next) {
-		seen = g_hash_table_lookup(disk->seen, at->data);
+		seen = g_hash_table_lookup(disk->cached, at->data);
 		durable = g_hash_table_lookup(disk->durable, at->data);
 		if (g_hash_table_contains(out, at->data))
 			continue;
@@ -336,8 +336,8 @@
 	for (i = 0; i < disk->files->len; i++)
 		crash_file(disk, g_ptr_array_index(disk->files, i));
 	crash_names(disk, disk->durable, out);
-	crash_names(disk, disk->seen, out);
-	copy_names(disk->seen, out);
+	crash_names(disk, disk->cached, out);
+	copy_names(disk->cached, out);
 	copy_names(disk->durable, out);
 	g_hash_table_destroy(out);
 	fake_disk_restart(disk);
@@ -345,14 +345,14 @@
 
 void fake_disk_wipe(fake_disk_t *disk)
 {
-	g_hash_table_remove_all(disk->seen);
+	g_hash_table_remove_all(disk->cached);
 	g_hash_table_remove_all(disk->durable);
 	fake_disk_restart(disk);
 }
 
-int fake_disk_flip(fake_disk_t *disk, const char *name, uint64_t offset)
+int fake_disk_flip_bit(fake_disk_t *disk, const char *name, uint64_t offset)
 {
-	fake_file_t *file = g_hash_table_lookup(disk->seen, name);
+	fake_file_t *file = g_hash_table_lookup(disk->cached, name);
 
 	if (!file || offset >= file->seen->len)
 		return 0;
@@ -364,20 +364,20 @@
 
 int64_t fake_disk_size(const fake_disk_t *disk, const char *name)
 {
-	const fake_file_t *file = g_hash_table_lookup(disk->seen, name);
+	const fake_file_t *file = g_hash_table_lookup(disk->cached, name);
 
 	return file ? (int64_t)file->seen->len : -1;
 }
 
-void fake_disk_lose(fake_disk_t *disk, const char *name)
+void fake_disk_remove(fake_disk_t *disk, const char *name)
 {
-	g_hash_table_remove(disk->seen, name);
+	g_hash_table_remove(disk->cached, name);
 	g_hash_table_remove(disk->durable, name);
 }
 
 const char *fake_disk_find(const fake_disk_t *disk, const char *prefix)
 {
-	GList *names = sorted_names(disk->seen);
+	GList *names = sorted_names(disk->cached);
 	const char *found = NULL;
 	GList *at;
 
--- a/tests/fake_disk.h
+++ b/tests/fake_disk.h
@@ -17,7 +17,7 @@
 	GPtrArray *files;
 	GPtrArray *handles;
 	/* Name to file: as seen, and as it would survive. */
-	GHashTable *seen;
+	GHashTable *cached;
 	GHashTable *durable;
 	/* Operations until the fault; FAKE_DISK_NEVER for none. */
 	uint32_t writes_left;
@@ -34,7 +34,7 @@
 void fake_disk_destroy(fake_disk_t *disk);
 
 /* Forget all faults that were set. */
-void fake_disk_heal(fake_disk_t *disk);
+void fake_disk_clear_faults(fake_disk_t *disk);
 
 /* Power is lost and comes back; all handles are gone, faults are forgotten. */
 void fake_disk_crash(fake_disk_t *disk);
@@ -46,13 +46,13 @@
 void fake_disk_wipe(fake_disk_t *disk);
 
 /* Change one bit, on the disk itself. Returns 0 if there is no such byte. */
-int fake_disk_flip(fake_disk_t *disk, const char *name, uint64_t offset);
+int fake_disk_flip_bit(fake_disk_t *disk, const char *name, uint64_t offset);
 
 /* Size of a file, or -1 if there is none. */
 int64_t fake_disk_size(const fake_disk_t *disk, const char *name);
 
 /* Remove a file behind the store's back. */
-void fake_disk_lose(fake_disk_t *disk, const char *name);
+void fake_disk_remove(fake_disk_t *disk, const char *name);
 
 /* The first file, in order of name, whose name begins with prefix. */
 const char *fake_disk_find(const fake_disk_t *disk, const char *prefix);
--- a/tests/fake_group.c
+++ b/tests/fake_group.c
@@ -73,14 +73,14 @@
 	packet->size = xdr_getpos(&xdr);
 	packet = g_realloc(packet, sizeof(*packet) + packet->size);
 	packet->to_slot = message->to.slot;
-	packet->side = group->members[message->from.slot].side;
+	packet->side = group->members[message->from.slot].partition;
 	packet->due_ms =
 		group->now_ms + 1 +
-		g_rand_int_range(group->rand, 0, (gint32)group->delay_ms);
-	g_ptr_array_add(group->bag, packet);
+		g_rand_int_range(group->rand, 0, (gint32)group->max_delay_ms);
+	g_ptr_array_add(group->in_flight, packet);
 }
 
-void fake_group_put(fake_group_t *group, const dy_raft_message_t *message)
+void fake_group_inject(fake_group_t *group, const dy_raft_message_t *message)
 {
 	put_packet(group, message);
 }
@@ -94,10 +94,10 @@
 	FAKE_CHECK(message->to.slot < group->size);
 	group->messages++;
 	watch_vote(group, message);
-	if (g_rand_int_range(group->rand, 0, 100) < group->loss)
+	if (g_rand_int_range(group->rand, 0, 100) < group->loss_percent)
 		return;
 	put_packet(group, message);
-	if (g_rand_int_range(group->rand, 0, 100) < group->duplication)
+	if (g_rand_int_range(group->rand, 0, 100) < group->duplication_percent)
 		put_packet(group, message);
 }
 
@@ -117,15 +117,16 @@
 		snprintf(key, sizeof(key), "%llu", (unsigned long long)command);
 		note_unique(group->commands, key, entry->index);
 	}
-	member->chain = (member->chain ^ command) * 0x100000001b3ull + 1;
+	member->state_hash =
+		(member->state_hash ^ command) * 0x100000001b3ull + 1;
 	if (!logged->term) {
 		logged->term = entry->term;
 		logged->command = command;
-		logged->chain = member->chain;
+		logged->chain = member->state_hash;
 	}
 	FAKE_CHECK(logged->term == entry->term);
 	FAKE_CHECK(logged->command == command);
-	FAKE_CHECK(logged->chain == member->chain);
+	FAKE_CHECK(logged->chain == member->state_hash);
 }
 
 static int member_write_snapshot(void *context, dy_raft_add_cb_t *add,
@@ -138,7 +139,7 @@
 	memset(filler, (int)(member->slot * 32 + member->applied_index % 32),
 	       sizeof(filler));
 	return add(add_context, &member->applied_index, 8) ||
-			       add(add_context, &member->chain, 8) ||
+			       add(add_context, &member->state_hash, 8) ||
 			       add(add_context, filler, sizeof(filler))
 		       ? -1
 		       : 0;
@@ -160,11 +161,11 @@
 		return -1;
 	FAKE_CHECK(used == (int)sizeof(bytes));
 	memcpy(&member->applied_index, bytes, 8);
-	memcpy(&member->chain, bytes + 8, 8);
+	memcpy(&member->state_hash, bytes + 8, 8);
 	for (n = 17; n < used; n++)
 		FAKE_CHECK(bytes[n] == bytes[16]);
 	FAKE_CHECK(logged_at(member->group, member->applied_index)->chain ==
-		   member->chain);
+		   member->state_hash);
 	return 0;
 }
 
@@ -209,7 +210,7 @@
 	options.first_election_ms = member->group->first_election_ms;
 	options.metrics = member->group->metrics;
 	member->applied_index = 0;
-	member->chain = 0;
+	member->state_hash = 0;
 	member->disk_failed = 0;
 	member->store =
 		dy_store_create(&member->disk->table, &store_options, &error);
@@ -270,9 +271,9 @@
 	group->rand = g_rand_new_with_seed(seed);
 	group->size = size;
 	group->now_ms = 1000;
-	group->delay_ms = 4;
+	group->max_delay_ms = 4;
 	group->next_identity = 1000;
-	group->bag = g_ptr_array_new_with_free_func(g_free);
+	group->in_flight = g_ptr_array_new_with_free_func(g_free);
 	group->metrics = dy_metrics_create();
 	group->log = g_array_new(FALSE, TRUE, sizeof(logged_t));
 	group->commands =
@@ -303,7 +304,7 @@
 			fake_group_stop(&group->members[i]);
 		fake_disk_destroy(group->members[i].disk);
 	}
-	g_ptr_array_free(group->bag, TRUE);
+	g_ptr_array_free(group->in_flight, TRUE);
 	g_array_free(group->log, TRUE);
 	g_hash_table_destroy(group->commands);
 	g_hash_table_destroy(group->votes);
@@ -319,7 +320,7 @@
 	dy_raft_message_t message;
 	XDR xdr;
 
-	if (!member->raft || member->side != packet->side)
+	if (!member->raft || member->partition != packet->side)
 		return;
 	memset(&message, 0, sizeof(message));
 	xdrmem_create(&xdr, (char *)packet->data, packet->size, XDR_DECODE);
@@ -334,14 +335,14 @@
 	packet_t *packet;
 	guint i = 0;
 
-	while (i < group->bag->len) {
-		packet = g_ptr_array_index(group->bag, i);
+	while (i < group->in_flight->len) {
+		packet = g_ptr_array_index(group->in_flight, i);
 		if (packet->due_ms > group->now_ms ||
 		    group->members[packet->to_slot].frozen) {
 			i++;
 			continue;
 		}
-		packet = g_ptr_array_steal_index(group->bag, i);
+		packet = g_ptr_array_steal_index(group->in_flight, i);
 		deliver(group, packet);
 		g_free(packet);
 	}
@@ -463,7 +464,7 @@
 		pending->group->reads++;
 	} else {
 		FAKE_CHECK(result == DY_RAFT_NOT_LEADER);
-		pending->group->refused_reads++;
+		pending->group->failed_reads++;
 	}
 	g_free(pending);
 }
--- a/tests/fake_group.h
+++ b/tests/fake_group.h
@@ -41,11 +41,11 @@
 	dy_raft_t *raft;
 	int frozen;
 	/* Members hear each other on the same side alone. */
-	int side;
+	int partition;
 	int disk_failed;
 	/* The state machine: a chain over the commands applied. */
 	uint64_t applied_index;
-	uint64_t chain;
+	uint64_t state_hash;
 } fake_member_t;
 
 struct fake_group {
@@ -53,13 +53,13 @@
 	uint32_t size;
 	uint64_t now_ms;
 	GRand *rand;
-	GPtrArray *bag;
+	GPtrArray *in_flight;
 	dy_metrics_t *metrics;
 	/* In percent. */
-	int loss;
-	int duplication;
+	int loss_percent;
+	int duplication_percent;
 	/* Longest way of a datagram. */
-	uint32_t delay_ms;
+	uint32_t max_delay_ms;
 	/* For members that are started from now on; 0: the default. */
 	uint32_t first_election_ms;
 	uint64_t next_command;
@@ -74,7 +74,7 @@
 	uint64_t acknowledged;
 	uint64_t unknown;
 	uint64_t reads;
-	uint64_t refused_reads;
+	uint64_t failed_reads;
 	uint64_t transfers;
 	dy_raft_result_t last_change;
 };
@@ -91,7 +91,7 @@
  * Do what an operator does next to make every member's present identity a
  * voter and no other; returns 1 once it is so, and committed.
  */
-int fake_group_maintain(fake_group_t *group);
+int fake_group_reconcile(fake_group_t *group);
 
 /* Maintain until it is done, within limit_ms. Returns whether it was. */
 int fake_group_form(fake_group_t *group, uint32_t limit_ms);
@@ -113,18 +113,18 @@
 void fake_group_wipe(fake_member_t *member);
 
 /* All heal; every member must come to hold all that was acknowledged. */
-void fake_group_settle(fake_group_t *group);
+void fake_group_converge(fake_group_t *group);
 
 /* A group whose slots are all voters, a little after it formed. */
 fake_group_t *fake_group_create_formed(uint32_t seed, uint32_t size);
 /* Propose to whoever leads, and see all of it acknowledged. */
-void fake_group_accept(fake_group_t *group, int count);
+void fake_group_commit(fake_group_t *group, int count);
 uint64_t fake_group_counter(const fake_group_t *group, const char *name);
 /* Another member than this one. */
-fake_member_t *fake_group_other(fake_group_t *group,
-				const fake_member_t *member);
+fake_member_t *fake_group_other_member(fake_group_t *group,
+				       const fake_member_t *member);
 
 /* Put a message of the test's own into the bag. */
-void fake_group_put(fake_group_t *group, const dy_raft_message_t *message);
+void fake_group_inject(fake_group_t *group, const dy_raft_message_t *message);
 
 #endif
--- a/tests/fake_group_operator.c
+++ b/tests/fake_group_operator.c
@@ -36,7 +36,7 @@
 	return NULL;
 }
 
-int fake_group_maintain(fake_group_t *group)
+int fake_group_reconcile(fake_group_t *group)
 {
 	fake_member_t *leader = fake_group_leader(group);
 	const dy_raft_config_t *config;
@@ -82,27 +82,27 @@
 
 	while (group->now_ms < end) {
 		fake_group_step(group, 5);
-		if (fake_group_maintain(group))
+		if (fake_group_reconcile(group))
 			return 1;
 	}
 	return 0;
 }
 
-void fake_group_settle(fake_group_t *group)
+void fake_group_converge(fake_group_t *group)
 {
 	fake_member_t *member;
 	uint32_t i;
 	int tries;
 
-	group->loss = 0;
-	group->duplication = 0;
+	group->loss_percent = 0;
+	group->duplication_percent = 0;
 	for (i = 0; i < group->size; i++) {
 		member = &group->members[i];
-		member->side = 0;
+		member->partition = 0;
 		member->frozen = 0;
 		if (member->raft && dy_raft_failed(member->raft))
 			fake_group_crash(member, 0);
-		fake_disk_heal(member->disk);
+		fake_disk_clear_faults(member->disk);
 		if (!member->raft)
 			fake_group_start(member);
 	}
@@ -127,7 +127,7 @@
 	return group;
 }
 
-void fake_group_accept(fake_group_t *group, int count)
+void fake_group_commit(fake_group_t *group, int count)
 {
 	uint64_t wanted = group->acknowledged + (uint64_t)count;
 	fake_member_t *leader;
@@ -146,8 +146,8 @@
 	return dy_metrics_value(group->metrics, name);
 }
 
-fake_member_t *fake_group_other(fake_group_t *group,
-				const fake_member_t *member)
+fake_member_t *fake_group_other_member(fake_group_t *group,
+				       const fake_member_t *member)
 {
 	return &group->members[(member->slot + 1) % group->size];
 }
--- a/tests/fake_store.c
+++ b/tests/fake_store.c
@@ -33,7 +33,7 @@
 	dy_store_append(store, &entry);
 }
 
-void fake_store_add(dy_store_t *store, uint64_t term, int count)
+void fake_store_append(dy_store_t *store, uint64_t term, int count)
 {
 	char text[64];
 
@@ -50,8 +50,8 @@
 	ck_assert_int_eq(dy_store_sync(store, NULL), 0);
 }
 
-int fake_store_take_snapshot(dy_store_t *store, uint64_t index, uint64_t term,
-			     uint32_t size)
+int fake_store_write_snapshot(dy_store_t *store, uint64_t index, uint64_t term,
+			      uint32_t size)
 {
 	dy_store_snapshot_t meta = { .last_index = index, .last_term = term };
 	char *bytes = g_malloc(size);
--- a/tests/test_founding.c
+++ b/tests/test_bootstrap.c
@@ -1,17 +1,17 @@
-#include "founding.h"
+#include "bootstrap.h"
 
 #include <string.h>
 
 #include "fake_suite.h"
 
 static dy_peers_t peers;
-static founding_t founding;
+static bootstrap_t bootstrap;
 
 static void begin(uint32_t slot)
 {
 	ck_assert(dy_peers_parse(
 		&peers, "3=127.0.0.1:3,2=127.0.0.1:2,5=[::1]:5", NULL));
-	founding_init(&founding, &peers, slot);
+	bootstrap_init(&bootstrap, &peers, slot);
 }
 
 static void hear(uint32_t slot, uint64_t identity, int empty, int mine,
@@ -20,7 +20,8 @@
 	dy_hello_t hello = { .id = { slot, identity }, .empty = empty };
 
 	/* From another address than the slot's: a second process. */
-	founding_hear(&founding, &hello, &peers.slots[1], mine, now_ms);
+	bootstrap_receive_hello(&bootstrap, &hello, &peers.slots[1], mine,
+				now_ms);
 }
 
 /*
@@ -32,17 +33,17 @@
 {
 	begin(2);
 	hear(3, 30, 1, 1, 0);
-	ck_assert(!founding_is_due(&founding));
+	ck_assert(!bootstrap_is_due(&bootstrap));
 	hear(5, 50, 0, 1, 0);
-	ck_assert(!founding_is_due(&founding));
+	ck_assert(!bootstrap_is_due(&bootstrap));
 	/* An answer to an earlier process may be from before the group. */
 	hear(5, 50, 1, 0, 0);
-	ck_assert(!founding_is_due(&founding));
+	ck_assert(!bootstrap_is_due(&bootstrap));
 	hear(9, 90, 1, 1, 0);
 	hear(4000000000U, 90, 1, 1, 0);
-	ck_assert(!founding_is_due(&founding));
+	ck_assert(!bootstrap_is_due(&bootstrap));
 	hear(5, 50, 1, 1, 0);
-	ck_assert(founding_is_due(&founding));
+	ck_assert(bootstrap_is_due(&bootstrap));
 }
 END_TEST
 
@@ -52,7 +53,7 @@
 	begin(3);
 	hear(2, 20, 1, 1, 0);
 	hear(5, 50, 1, 1, 0);
-	ck_assert(!founding_is_due(&founding));
+	ck_assert(!bootstrap_is_due(&bootstrap));
 }
 END_TEST
 
@@ -61,15 +62,15 @@
 {
 	dy_hello_t hello = { .id = { slot, identity }, .empty = 1 };
 
-	founding_hear(&founding, &hello, from, 0, now_ms);
+	bootstrap_receive_hello(&bootstrap, &hello, from, 0, now_ms);
 }
 
 static join_step_t next(const join_member_t *voter,
 			const join_member_t *learner, uint64_t now_ms,
 			uint64_t *identity)
 {
-	return founding_next_join(&founding, 5, voter, learner, now_ms,
-				  identity);
+	return bootstrap_next_join(&bootstrap, 5, voter, learner, now_ms,
+				   identity);
 }
 
 /*
@@ -80,22 +81,22 @@
 START_TEST(replacement_catches_up_before_it_counts)
 {
 	join_member_t none = { 0 };
-	join_member_t lost = { 50, 900, MEMBER_SILENT_MS };
+	join_member_t lost = { 50, 900, MEMBER_TIMEOUT_MS };
 	join_member_t learner = { 51, CAUGHT_UP_ENTRIES + 1, 0 };
 	uint64_t identity = 0;
 
 	begin(2);
-	ck_assert_int_eq(next(&lost, &none, 0, &identity), JOIN_NOTHING);
+	ck_assert_int_eq(next(&lost, &none, 0, &identity), JOIN_NONE);
 	hear(5, 51, 1, 0, 1000);
 	ck_assert_int_eq(next(&lost, &none, 1000, &identity), JOIN_ADD);
 	ck_assert_uint_eq(identity, 51);
-	ck_assert_int_eq(next(&lost, &learner, 1000, &identity), JOIN_NOTHING);
+	ck_assert_int_eq(next(&lost, &learner, 1000, &identity), JOIN_NONE);
 	learner.lag = CAUGHT_UP_ENTRIES;
 	ck_assert_int_eq(next(&lost, &learner, 1000, &identity), JOIN_REMOVE);
 	ck_assert_uint_eq(identity, 50);
 	ck_assert_int_eq(next(&none, &learner, 1000, &identity), JOIN_PROMOTE);
 	ck_assert_uint_eq(identity, 51);
-	ck_assert_int_eq(next(&learner, &none, 1000, &identity), JOIN_NOTHING);
+	ck_assert_int_eq(next(&learner, &none, 1000, &identity), JOIN_NONE);
 }
 END_TEST
 
@@ -106,21 +107,22 @@
 START_TEST(living_member_is_not_replaced)
 {
 	join_member_t none = { 0 };
-	join_member_t voter = { 50, 0, MEMBER_SILENT_MS - 1 };
+	join_member_t voter = { 50, 0, MEMBER_TIMEOUT_MS - 1 };
 	join_member_t learner = { 51, 0, 0 };
 	uint64_t identity = 0;
 
 	begin(2);
 	hear(5, 51, 1, 0, 1000);
 	ck_assert_int_eq(next(&voter, &none, 1000, &identity), JOIN_REFUSE);
-	ck_assert_int_eq(next(&voter, &learner, 1000, &identity), JOIN_NOTHING);
+	ck_assert_int_eq(next(&voter, &learner, 1000, &identity), JOIN_NONE);
 	/* A wish that is long past is none. */
-	voter.silent_ms = MEMBER_SILENT_MS;
-	ck_assert_int_eq(next(&voter, &none, 1001 + JOIN_FRESH_MS, &identity),
-			 JOIN_NOTHING);
+	voter.last_answer_age_ms = MEMBER_TIMEOUT_MS;
+	ck_assert_int_eq(
+		next(&voter, &none, 1001 + JOIN_REQUEST_TTL_MS, &identity),
+		JOIN_NONE);
 	/* A learner that died gives way to the next. */
-	learner.silent_ms = MEMBER_SILENT_MS;
-	ck_assert_int_eq(next(&voter, &learner, 1000, &identity), JOIN_NOTHING);
+	learner.last_answer_age_ms = MEMBER_TIMEOUT_MS;
+	ck_assert_int_eq(next(&voter, &learner, 1000, &identity), JOIN_NONE);
 	hear(5, 52, 1, 0, 1000);
 	ck_assert_int_eq(next(&voter, &learner, 1000, &identity), JOIN_REMOVE);
 	ck_assert_uint_eq(identity, 51);
--- a/tests/test_mass_restart.c
+++ b/tests/test_mass_restart.c
@@ -174,7 +174,7 @@
 	/* One that is at work is passed over. */
 	while (!fake_group_leader(group))
 		fake_site_run(herd, 1);
-	lost = fake_group_other(group, fake_group_leader(group));
+	lost = fake_group_other_member(group, fake_group_leader(group));
 	fake_group_wipe(lost);
 	fake_group_start(lost);
 	fake_site_run(herd, 5000);
--- a/tests/test_raft.c
+++ b/tests/test_raft.c
@@ -14,14 +14,14 @@
 		fake_group_create_formed((uint32_t)_i, _i % 2 ? 5 : 3);
 	uint64_t elections = fake_group_counter(group, "raft_elections");
 
-	fake_group_accept(group, 30);
+	fake_group_commit(group, 30);
 	ck_assert_int_eq(fake_group_read(group, fake_group_leader(group)),
 			 DY_RAFT_DONE);
 	fake_group_run(group, 3000);
 	ck_assert_uint_eq(group->reads, 1);
 	ck_assert_uint_eq(fake_group_counter(group, "raft_elections"),
 			  elections);
-	fake_group_settle(group);
+	fake_group_converge(group);
 	fake_group_destroy(group);
 }
 END_TEST
@@ -37,20 +37,20 @@
 	fake_group_t *group = fake_group_create_formed((uint32_t)_i, 3);
 	fake_member_t *old;
 
-	fake_group_accept(group, 3);
+	fake_group_commit(group, 3);
 	old = fake_group_leader(group);
 	fake_group_step(group, 30);
 	old->frozen = 1;
-	fake_group_accept(group, 3);
+	fake_group_commit(group, 3);
 	old->frozen = 0;
 	ck_assert_int_eq(dy_raft_role(old->raft), DY_RAFT_LEADER);
 	ck_assert_int_eq(fake_group_read(group, old), DY_RAFT_DONE);
 	/* The flush comes before it reads its socket or looks at the clock. */
 	dy_raft_flush(old->raft);
 	fake_group_run(group, 500);
-	ck_assert_uint_eq(group->refused_reads, 1);
+	ck_assert_uint_eq(group->failed_reads, 1);
 	ck_assert_uint_eq(group->reads, 0);
-	fake_group_settle(group);
+	fake_group_converge(group);
 	fake_group_destroy(group);
 }
 END_TEST
@@ -64,12 +64,12 @@
 {
 	fake_group_t *group = fake_group_create_formed((uint32_t)_i, 3);
 	fake_member_t *leader = fake_group_leader(group);
-	fake_member_t *away = fake_group_other(group, leader);
+	fake_member_t *away = fake_group_other_member(group, leader);
 	uint64_t term = dy_raft_term(leader->raft);
 
-	away->side = 1;
+	away->partition = 1;
 	fake_group_run(group, 20000);
-	away->side = 0;
+	away->partition = 0;
 	fake_group_run(group, 3000);
 	ck_assert_ptr_eq(fake_group_leader(group), leader);
 	ck_assert_uint_eq(dy_raft_term(leader->raft), term);
@@ -88,17 +88,17 @@
 {
 	fake_group_t *group = fake_group_create_formed(5, 3);
 	fake_member_t *leader = fake_group_leader(group);
-	fake_member_t *asked = fake_group_other(group, leader);
+	fake_member_t *asked = fake_group_other_member(group, leader);
 	uint64_t term = dy_raft_term(leader->raft);
 	dy_raft_message_t ask = { .group = FAKE_GROUP_NUMBER };
 
-	ask.from = dy_raft_id(fake_group_other(group, asked)->raft);
+	ask.from = dy_raft_id(fake_group_other_member(group, asked)->raft);
 	ask.to = dy_raft_id(asked->raft);
 	ask.term = term + 5;
 	ask.body.kind = DY_RAFT_VOTE;
 	ask.body.dy_raft_body_t_u.vote.last_index = 1000;
 	ask.body.dy_raft_body_t_u.vote.last_term = term;
-	fake_group_put(group, &ask);
+	fake_group_inject(group, &ask);
 	fake_group_run(group, 1000);
 	ck_assert_uint_eq(dy_raft_term(asked->raft), term);
 	ck_assert_ptr_eq(fake_group_leader(group), leader);
@@ -117,18 +117,18 @@
 	fake_member_t *old = fake_group_leader(group);
 	int i;
 
-	old->side = 1;
+	old->partition = 1;
 	for (i = 0; i < 5; i++)
 		ck_assert_int_eq(fake_group_propose(group, old), DY_RAFT_DONE);
 	ck_assert_int_eq(fake_group_read(group, old), DY_RAFT_DONE);
 	fake_group_run(group, 400);
 	ck_assert_int_ne(dy_raft_role(old->raft), DY_RAFT_LEADER);
 	ck_assert_uint_eq(group->unknown, 5);
-	ck_assert_uint_eq(group->refused_reads, 1);
+	ck_assert_uint_eq(group->failed_reads, 1);
 	ck_assert_int_eq(fake_group_propose(group, old), DY_RAFT_NOT_LEADER);
-	fake_group_accept(group, 3);
-	old->side = 0;
-	fake_group_settle(group);
+	fake_group_commit(group, 3);
+	old->partition = 0;
+	fake_group_converge(group);
 	ck_assert_uint_ge(fake_group_counter(group, "raft_entries_truncated"),
 			  5);
 	fake_group_destroy(group);
@@ -143,19 +143,20 @@
 START_TEST(catches_up_after_hundreds_of_entries)
 {
 	fake_group_t *group = fake_group_create_formed((uint32_t)_i, 3);
-	fake_member_t *away = fake_group_other(group, fake_group_leader(group));
+	fake_member_t *away =
+		fake_group_other_member(group, fake_group_leader(group));
 
 	fake_group_crash(away, 1);
-	fake_group_accept(group, _i % 2 ? 50 : 700);
+	fake_group_commit(group, _i % 2 ? 50 : 700);
 	ck_assert(_i % 2 ||
 		  fake_group_counter(group, "raft_snapshots_written") > 3);
 	fake_group_start(away);
-	group->loss = 30;
+	group->loss_percent = 30;
 	fake_group_run(group, 5000);
 	ck_assert_uint_ge(away->applied_index, group->acknowledged_index);
 	ck_assert(_i % 2 ||
 		  fake_group_counter(group, "raft_snapshots_installed") > 0);
-	fake_group_settle(group);
+	fake_group_converge(group);
 	fake_group_destroy(group);
 }
 END_TEST
@@ -180,8 +181,8 @@
 	ck_assert_uint_eq(group->unknown, 1);
 	ck_assert_uint_eq(fake_group_counter(group, "raft_disk_failed"), 1);
 	ck_assert_int_eq(fake_group_propose(group, leader), DY_RAFT_NOT_LEADER);
-	fake_group_accept(group, 2);
-	fake_group_settle(group);
+	fake_group_commit(group, 2);
+	fake_group_converge(group);
 	fake_group_destroy(group);
 }
 END_TEST
@@ -217,8 +218,8 @@
 	ck_assert_uint_eq(group->unknown, 0);
 	ck_assert_uint_eq(group->acknowledged, 1);
 	fake_group_stop(leader);
-	fake_group_accept(group, 3);
-	fake_group_settle(group);
+	fake_group_commit(group, 3);
+	fake_group_converge(group);
 	fake_group_destroy(group);
 }
 END_TEST
@@ -247,7 +248,7 @@
 	dy_raft_flush(leader->raft);
 	index = dy_store_last_index(leader->store);
 	fake_group_run(group, 1200);
-	vote.from = dy_raft_id(fake_group_other(group, leader)->raft);
+	vote.from = dy_raft_id(fake_group_other_member(group, leader)->raft);
 	vote.to = dy_raft_id(leader->raft);
 	vote.config_index = 1000;
 	vote.body.kind = DY_RAFT_VOTE_REPLY;
@@ -298,7 +299,7 @@
 		fake_group_step(group, 1);
 	took_ms = group->now_ms - since_ms;
 	fake_group_start(&group->members[2]);
-	fake_group_settle(group);
+	fake_group_converge(group);
 	fake_group_destroy(group);
 	return took_ms;
 }
@@ -338,7 +339,7 @@
 	while (!fake_group_leader(group) && group->now_ms - since_ms < 5000)
 		fake_group_step(group, 1);
 	took_ms = group->now_ms - since_ms;
-	fake_group_settle(group);
+	fake_group_converge(group);
 	fake_group_destroy(group);
 	return took_ms;
 }
@@ -379,7 +380,7 @@
 	fake_group_run(group, 500);
 	ck_assert_uint_eq(dy_raft_commit_index(leader->raft),
 			  dy_store_last_index(leader->store));
-	fake_group_settle(group);
+	fake_group_converge(group);
 	fake_group_destroy(group);
 }
 END_TEST
@@ -397,7 +398,7 @@
 	uint64_t lost;
 	int i;
 
-	fake_group_accept(group, 3);
+	fake_group_commit(group, 3);
 	leader = fake_group_leader(group);
 	lost = fake_group_counter(group, "raft_quorum_lost");
 	leader->frozen = 1;
@@ -410,7 +411,7 @@
 	fake_group_run(group, 1000);
 	ck_assert_uint_eq(fake_group_counter(group, "raft_quorum_lost"), lost);
 	ck_assert_ptr_eq(fake_group_leader(group), leader);
-	fake_group_settle(group);
+	fake_group_converge(group);
 	fake_group_destroy(group);
 }
 END_TEST
@@ -427,9 +428,9 @@
 	uint64_t asked;
 	int i;
 
-	fake_group_accept(group, 3);
+	fake_group_commit(group, 3);
 	leader = fake_group_leader(group);
-	late = fake_group_other(group, leader);
+	late = fake_group_other_member(group, leader);
 	asked = fake_group_counter(group, "raft_pre_votes");
 	late->frozen = 1;
 	for (i = 0; i < 100; i++)
@@ -439,7 +440,7 @@
 	ck_assert_int_eq(dy_raft_role(late->raft), DY_RAFT_FOLLOWER);
 	fake_group_run(group, 1000);
 	ck_assert_uint_eq(fake_group_counter(group, "raft_pre_votes"), asked);
-	fake_group_settle(group);
+	fake_group_converge(group);
 	fake_group_destroy(group);
 }
 END_TEST
@@ -454,18 +455,18 @@
 	fake_member_t *leader;
 	int i;
 
-	fake_group_accept(group, 3);
+	fake_group_commit(group, 3);
 	leader = fake_group_leader(group);
 	leader->frozen = 1;
 	for (i = 0; i < 28; i++)
 		fake_group_step(group, 10);
 	leader->frozen = 0;
-	leader->side = 1;
+	leader->partition = 1;
 	for (i = 0; i < 60; i++)
 		fake_group_step(group, 10);
 	ck_assert_int_ne(dy_raft_role(leader->raft), DY_RAFT_LEADER);
-	leader->side = 0;
-	fake_group_settle(group);
+	leader->partition = 0;
+	fake_group_converge(group);
 	fake_group_destroy(group);
 }
 END_TEST
--- a/tests/test_raft_member.c
+++ b/tests/test_raft_member.c
@@ -16,7 +16,7 @@
 {
 	fake_group_t *group = fake_group_create_formed(3, 3);
 	fake_member_t *leader = fake_group_leader(group);
-	fake_member_t *wiped = fake_group_other(group, leader);
+	fake_member_t *wiped = fake_group_other_member(group, leader);
 	dy_raft_message_t ask = { .group = FAKE_GROUP_NUMBER };
 	uint64_t votes;
 	int i;
@@ -34,13 +34,13 @@
 	fake_group_run(group, 50);
 	fake_group_start(wiped);
 	votes = g_hash_table_size(group->votes);
-	fake_group_put(group, &ask);
+	fake_group_inject(group, &ask);
 	fake_group_run(group, 20);
 	ck_assert_uint_eq(g_hash_table_size(group->votes), votes);
 	ck_assert_uint_gt(fake_group_counter(group, "raft_refused_identity"),
 			  0);
 	ck_assert_uint_eq(dy_raft_term(wiped->raft), 0);
-	fake_group_settle(group);
+	fake_group_converge(group);
 	fake_group_destroy(group);
 }
 END_TEST
@@ -54,19 +54,19 @@
 {
 	fake_group_t *group = fake_group_create_formed((uint32_t)_i, 3);
 	fake_member_t *first = &group->members[_i % 3];
-	fake_member_t *second = fake_group_other(group, first);
+	fake_member_t *second = fake_group_other_member(group, first);
 	uint64_t accepted;
 
-	fake_group_accept(group, 150);
+	fake_group_commit(group, 150);
 	fake_group_wipe(first);
 	fake_group_start(first);
 	ck_assert(fake_group_form(group, 20000));
 	fake_group_wipe(second);
 	accepted = group->acknowledged_index;
 	fake_group_start(second);
-	fake_group_accept(group, 2);
+	fake_group_commit(group, 2);
 	ck_assert_uint_gt(first->applied_index, accepted);
-	fake_group_settle(group);
+	fake_group_converge(group);
 	fake_group_destroy(group);
 }
 END_TEST
@@ -76,7 +76,7 @@
 {
 	fake_group_t *group = fake_group_create_formed(4, 3);
 	fake_member_t *leader = fake_group_leader(group);
-	fake_member_t *removed = fake_group_other(group, leader);
+	fake_member_t *removed = fake_group_other_member(group, leader);
 	uint64_t term = dy_raft_term(leader->raft);
 
 	ck_assert_int_eq(dy_raft_remove(leader->raft, dy_raft_id(leader->raft),
@@ -101,7 +101,7 @@
 {
 	fake_group_t *group = fake_group_create_formed(4, 3);
 	fake_member_t *leader = fake_group_leader(group);
-	fake_member_t *wiped = fake_group_other(group, leader);
+	fake_member_t *wiped = fake_group_other_member(group, leader);
 	dy_voter_id_t id = { wiped->slot, 0 };
 
 	fake_group_wipe(wiped);
@@ -112,7 +112,7 @@
 	fake_group_run(group, 1000);
 	ck_assert_int_eq(dy_raft_promote(leader->raft, id, NULL, NULL),
 			 DY_RAFT_REFUSED);
-	fake_group_settle(group);
+	fake_group_converge(group);
 	fake_group_destroy(group);
 }
 END_TEST
@@ -126,11 +126,11 @@
 {
 	fake_group_t *group = fake_group_create_formed(6, 3);
 	fake_member_t *leader = fake_group_leader(group);
-	fake_member_t *lost = fake_group_other(group, leader);
+	fake_member_t *lost = fake_group_other_member(group, leader);
 	dy_voter_id_t old = dy_raft_id(lost->raft);
 	dy_voter_id_t id = old;
 
-	fake_group_accept(group, 100);
+	fake_group_commit(group, 100);
 	fake_group_wipe(lost);
 	id.identity = lost->identity;
 	ck_assert_int_eq(dy_raft_add_learner(leader->raft, id, "x", NULL, NULL),
@@ -146,7 +146,7 @@
 	ck_assert_int_eq(dy_raft_promote(leader->raft, id, NULL, NULL),
 			 DY_RAFT_DONE);
 	ck_assert_int_eq(dy_raft_bootstrap(leader->raft, "x"), DY_RAFT_REFUSED);
-	fake_group_settle(group);
+	fake_group_converge(group);
 	fake_group_destroy(group);
 }
 END_TEST
--- a/tests/test_raft_random.c
+++ b/tests/test_raft_random.c
@@ -42,7 +42,7 @@
 		if (!group->members[i].raft ||
 		    dy_raft_failed(group->members[i].raft))
 			return 0;
-	return fake_group_maintain(group);
+	return fake_group_reconcile(group);
 }
 
 static void random_fault(fake_group_t *group)
@@ -58,7 +58,7 @@
 		member->frozen = !member->frozen;
 		break;
 	case 2:
-		member->side = !member->side;
+		member->partition = !member->partition;
 		break;
 	case 3:
 		fault_disk(group, member);
@@ -70,9 +70,10 @@
 		}
 		break;
 	case 5:
-		group->loss = g_rand_int_range(group->rand, 0, 40);
-		group->duplication = g_rand_int_range(group->rand, 0, 30);
-		group->delay_ms = g_rand_int_range(group->rand, 1, 80);
+		group->loss_percent = g_rand_int_range(group->rand, 0, 40);
+		group->duplication_percent =
+			g_rand_int_range(group->rand, 0, 30);
+		group->max_delay_ms = g_rand_int_range(group->rand, 1, 80);
 		break;
 	case 6:
 		if (member->raft && !member->frozen)
@@ -80,9 +81,9 @@
 					       group);
 		break;
 	default:
-		group->loss = 0;
+		group->loss_percent = 0;
 		member->frozen = 0;
-		member->side = 0;
+		member->partition = 0;
 		break;
 	}
 }
@@ -123,9 +124,9 @@
 		if (!g_rand_int_range(group->rand, 0, 40))
 			random_fault(group);
 		if (!(turn % 7))
-			(void)fake_group_maintain(group);
+			(void)fake_group_reconcile(group);
 	}
-	fake_group_settle(group);
+	fake_group_converge(group);
 	ck_assert_uint_gt(group->acknowledged, 20);
 	ck_assert_uint_gt(group->reads, 10);
 	fake_group_destroy(group);
--- a/tests/test_store.c
+++ b/tests/test_store.c
@@ -17,7 +17,7 @@
 	dy_store_t *store = fake_store_open(disk);
 	dy_voter_id_t candidate = { 3, 1234 };
 
-	fake_store_add(store, 1, 200);
+	fake_store_append(store, 1, 200);
 	fake_store_sync(store);
 	ck_assert_int_eq(dy_store_write_vote(store, 4, candidate, NULL), 0);
 	dy_store_destroy(store);
@@ -48,9 +48,9 @@
 	dy_store_t *store = fake_store_open(disk);
 	GError *error = NULL;
 
-	fake_store_add(store, 1, 3);
+	fake_store_append(store, 1, 3);
 	fake_store_sync(store);
-	fake_store_add(store, 1, 1);
+	fake_store_append(store, 1, 1);
 	if (_i < 2)
 		disk->writes_left = 0;
 	else
@@ -60,7 +60,7 @@
 	ck_assert_ptr_nonnull(strstr(error->message, "log-"));
 	g_clear_error(&error);
 	ck_assert_uint_eq(dy_store_synced_index(store), 3);
-	fake_disk_heal(disk);
+	fake_disk_clear_faults(disk);
 	ck_assert_int_eq(dy_store_sync(store, &error), -1);
 	ck_assert(
 		g_error_matches(error, DY_STORE_ERROR, DY_STORE_ERROR_FAILED));
@@ -113,11 +113,11 @@
 	dy_store_t *store = fake_store_open(disk);
 	char piece[DY_RAFT_CHUNK_BYTES];
 
-	fake_store_add(store, 1, 100);
+	fake_store_append(store, 1, 100);
 	fake_store_sync(store);
-	fake_store_add(store, 1, 100);
+	fake_store_append(store, 1, 100);
 	fake_store_sync(store);
-	ck_assert_int_eq(fake_store_take_snapshot(store, 150, 1, 40001), 0);
+	ck_assert_int_eq(fake_store_write_snapshot(store, 150, 1, 40001), 0);
 	dy_store_destroy(store);
 	fake_disk_crash(disk);
 	store = fake_store_open(disk);
@@ -130,7 +130,7 @@
 	ck_assert_int_eq(piece[0], 150 & 0x7f);
 	ck_assert_int_eq(fake_disk_size(disk, "log-00000000000000000001"), -1);
 	/* One that the log does not agree with replaces it whole. */
-	ck_assert_int_eq(fake_store_take_snapshot(store, 180, 5, 10), 0);
+	ck_assert_int_eq(fake_store_write_snapshot(store, 180, 5, 10), 0);
 	ck_assert_uint_eq(dy_store_first_index(store), 181);
 	ck_assert_uint_eq(dy_store_last_index(store), 180);
 	ck_assert_uint_eq(dy_store_synced_index(store), 180);
@@ -145,14 +145,14 @@
 	fake_disk_t *disk = fake_disk_create(12);
 	dy_store_t *store = fake_store_open(disk);
 
-	fake_store_add(store, 1, 20);
+	fake_store_append(store, 1, 20);
 	fake_store_sync(store);
 	disk->writes_left = 2;
-	ck_assert(fake_store_take_snapshot(store, 10, 1, 60000));
-	fake_disk_heal(disk);
+	ck_assert(fake_store_write_snapshot(store, 10, 1, 60000));
+	fake_disk_clear_faults(disk);
 	ck_assert(!dy_store_failed(store));
 	ck_assert_ptr_null(dy_store_snapshot(store));
-	fake_store_add(store, 1, 1);
+	fake_store_append(store, 1, 1);
 	fake_store_sync(store);
 	dy_store_destroy(store);
 	store = fake_store_open(disk);
@@ -188,9 +188,9 @@
 	disk = dy_disk_create(folder, NULL);
 	ck_assert_ptr_null(dy_disk_create(folder, NULL));
 	store = dy_store_create(disk, &options, NULL);
-	fake_store_add(store, 1, 300);
+	fake_store_append(store, 1, 300);
 	fake_store_sync(store);
-	ck_assert_int_eq(fake_store_take_snapshot(store, 200, 1, 20000), 0);
+	ck_assert_int_eq(fake_store_write_snapshot(store, 200, 1, 20000), 0);
 	ck_assert_int_eq(dy_store_truncate(store, 290, NULL), 0);
 	dy_store_destroy(store);
 	store = dy_store_create(disk, &options, NULL);
--- a/tests/test_store_recover.c
+++ b/tests/test_store_recover.c
@@ -35,9 +35,9 @@
 	dy_store_t *store = fake_store_open(disk);
 	uint64_t last;
 
-	fake_store_add(store, 1, 30);
+	fake_store_append(store, 1, 30);
 	fake_store_sync(store);
-	fake_store_add(store, 1, 60);
+	fake_store_append(store, 1, 60);
 	disk->operations_left = (uint32_t)_i % 4;
 	ck_assert_int_eq(dy_store_sync(store, NULL), -1);
 	dy_store_destroy(store);
@@ -45,7 +45,7 @@
 	store = fake_store_open(disk);
 	last = dy_store_last_index(store);
 	ck_assert_uint_ge(last, 30);
-	fake_store_add(store, 2, 5);
+	fake_store_append(store, 2, 5);
 	fake_store_sync(store);
 	dy_store_destroy(store);
 	fake_disk_crash(disk);
@@ -91,8 +91,8 @@
 		disk->operations_left = g_rand_int_range(rand, 0, 60);
 		for (tries = 0; !dy_store_failed(store); tries++) {
 			ck_assert_int_lt(tries, 1000);
-			fake_store_add(store, term,
-				       g_rand_int_range(rand, 1, 30));
+			fake_store_append(store, term,
+					  g_rand_int_range(rand, 1, 30));
 			if (!dy_store_sync(store, NULL))
 				acknowledged = dy_store_last_index(store);
 			if (g_rand_int_range(rand, 0, 8))
@@ -102,7 +102,7 @@
 					cut_log(store, rand, acknowledged);
 				term++;
 			} else {
-				(void)fake_store_take_snapshot(
+				(void)fake_store_write_snapshot(
 					store, acknowledged, term, 40000);
 			}
 			if (dy_store_snapshot(store) &&
@@ -133,16 +133,16 @@
 	const char *name;
 	int64_t size;
 
-	fake_store_add(store, 1, 10);
+	fake_store_append(store, 1, 10);
 	fake_store_sync(store);
 	if (_i == 0) {
-		fake_store_add(store, 1, 1);
+		fake_store_append(store, 1, 1);
 		fake_store_sync(store);
 	}
 	dy_store_destroy(store);
 	name = fake_disk_find(disk, "log-");
 	size = fake_disk_size(disk, name);
-	ck_assert(fake_disk_flip(disk, name, _i == 0 ? 300 : size - 3));
+	ck_assert(fake_disk_flip_bit(disk, name, _i == 0 ? 300 : size - 3));
 	expect_refusal(disk, name, "a synced record is damaged");
 	fake_disk_destroy(disk);
 }
@@ -155,17 +155,17 @@
 	fake_disk_t *disk = fake_disk_create(6);
 	dy_store_t *store = fake_store_open(disk);
 
-	fake_store_add(store, 1, 100);
+	fake_store_append(store, 1, 100);
 	fake_store_sync(store);
-	fake_store_add(store, 1, 300);
+	fake_store_append(store, 1, 300);
 	fake_store_sync(store);
-	ck_assert_int_eq(fake_store_take_snapshot(store, 150, 1, 50000), 0);
+	ck_assert_int_eq(fake_store_write_snapshot(store, 150, 1, 50000), 0);
 	dy_store_destroy(store);
 	if (_i < 3) {
-		fake_disk_flip(disk, name, fake_disk_size(disk, name) - 9);
+		fake_disk_flip_bit(disk, name, fake_disk_size(disk, name) - 9);
 		expect_refusal(disk, name, "damaged");
 	} else {
-		fake_disk_lose(disk, name);
+		fake_disk_remove(disk, name);
 		expect_refusal(disk, _i == 5 ? "log-" : name, "missing");
 	}
 	fake_disk_destroy(disk);
@@ -177,12 +177,12 @@
 	fake_disk_t *disk = fake_disk_create(6);
 	dy_store_t *store = fake_store_open(disk);
 
-	fake_store_add(store, 1, 50);
+	fake_store_append(store, 1, 50);
 	fake_store_sync(store);
-	fake_store_add(store, 1, 50);
+	fake_store_append(store, 1, 50);
 	fake_store_sync(store);
 	dy_store_destroy(store);
-	fake_disk_lose(disk, "log-00000000000000000051");
+	fake_disk_remove(disk, "log-00000000000000000051");
 	expect_refusal(disk, "log", "synced records are missing");
 	fake_disk_destroy(disk);
 }
@@ -201,9 +201,9 @@
 	int vote = _i % 2;
 
 	if (!vote) {
-		fake_store_add(store, 1, 2);
+		fake_store_append(store, 1, 2);
 		fake_store_sync(store);
-		fake_store_add(store, 1, 1);
+		fake_store_append(store, 1, 1);
 		disk->syncs_left = 0;
 		ck_assert_int_eq(dy_store_sync(store, NULL), -1);
 	} else {
@@ -238,11 +238,11 @@
 	int i;
 
 	for (i = 0; i < 5; i++) {
-		fake_store_add(store, 1, 40);
+		fake_store_append(store, 1, 40);
 		fake_store_sync(store);
 	}
 	disk->operations_left = (uint32_t)_i;
-	(void)fake_store_take_snapshot(store, _i % 2 ? 80 : 90, 5, 100);
+	(void)fake_store_write_snapshot(store, _i % 2 ? 80 : 90, 5, 100);
 	dy_store_destroy(store);
 	fake_disk_crash(disk);
 	store = fake_store_open(disk);
