--- a/include/damaskyard/agent.h
+++ b/include/damaskyard/agent.h
@@ -2,22 +2,23 @@
 #define DAMASKYARD_AGENT_H
 
 /*
- * The agent beside a target: the core, without a network of its own.
+ * The core of the agent that runs beside a target. It does no I/O itself.
  *
- * It owns the sessions of its target, their duplicate request caches, the
- * queue and the slots, and gives each call exactly one outcome. The process
- * around it (src/process/command/cmd_agent.c) brings datagrams, connections
- * and the clock; tests and the fuzzer bring fakes.
+ * The agent owns the sessions of its target, their duplicate request caches,
+ * the queue and the slots, and gives each call exactly one outcome. The
+ * process around it (src/process/agent/agent_process.c) supplies datagrams,
+ * connections and the clock; tests and the fuzzer supply fakes.
  *
- * What holds whatever happens, asserted inside:
- * - a (session, xid) that is not idempotent is handed to the target once;
- * - nothing of a session is handed to the target after the first message of
- *   its handover;
- * - no more calls are with the target than it has connections, one call on
- *   each, so that a late answer can reach no other call;
+ * Invariants, asserted in the code:
+ * - a non-idempotent (session, xid) is sent to the target at most once;
+ * - no call of a session is sent to the target after the first handover
+ *   message of that session;
+ * - the target has at most one call in progress on each connection, so that
+ *   a late answer cannot reach another call;
  * - each call has one outcome.
  *
- * Everything runs on one thread. What is passed in is borrowed for the call.
+ * Everything runs on one thread. Arguments are borrowed for the length of the
+ * call, unless stated otherwise.
  */
 
 #include <stddef.h>
@@ -33,84 +34,95 @@
 #include "dy_handover.h"
 #include "dy_target.h"
 
-/* Connections to the target that carry calls, at most. */
+/* Maximum number of connections to the target that carry calls. */
 #define DY_AGENT_SLOTS_MAX 64
 
-/* The connection that carries cancellations; calls use 0 and up. */
+/* Index of the connection that carries cancellations; calls use 0 and up. */
 #define DY_AGENT_CANCEL_LINK DY_AGENT_SLOTS_MAX
 #define DY_AGENT_LINKS (DY_AGENT_SLOTS_MAX + 1)
 
 /*
- * A target that was not announced for this long takes no call, in ms: three
- * announcements of one a second, so that one lost datagram is no outage.
+ * Lease of a target, in ms, renewed by each announcement. A target with an
+ * expired lease gets no calls. Targets announce themselves once a second, so
+ * that one lost datagram does not expire the lease.
  */
 #define DY_TARGET_LEASE_MS 3000
 
 /*
- * A target that has taken no call for this long, in ms, is taken for lost: its
- * sessions are handed over, if another target of the service can take them.
- * Twice the lease, so that a target that is merely started anew keeps them.
+ * Timeout after which a target that answers no calls is considered lost, in
+ * ms. Its sessions are then handed over, if another target of the service can
+ * take them. Twice the lease, so that a target that restarts keeps its
+ * sessions.
  */
 #define DY_TARGET_LOST_MS 6000
 
-/* Call dy_agent_tick() this often, in ms. */
+/* Interval at which to call dy_agent_tick(), in ms. */
 #define DY_AGENT_TICK_MS 50
 
 /*
- * A planned stop that cannot hand its sessions over (no successor, no
- * majority of control) ends after this, in ms: below the 90 s after which a
- * service manager kills.
+ * Timeout of a planned stop that cannot hand over its sessions because there
+ * is no successor or no majority of control, in ms. Below the 90 s after which
+ * a service manager kills the process.
  */
 #define DY_AGENT_STOP_MAX_MS 60000
 
 /*
- * An agent that has left passes calls on for this long, in ms: balancers
- * learn of it within a poll and a half, 750 ms, where nothing fails.
+ * Time for which an agent that has left still relays calls, in ms. Without
+ * failures, balancers learn that it has left within one and a half poll
+ * intervals, 750 ms.
  */
 #define DY_AGENT_LINGER_MS 5000
 
-/* Agents that one call passes through, at most. */
+/* Maximum number of agents that one call passes through. */
 #define DY_AGENT_HOPS_MAX 4
 
 typedef struct dy_agent dy_agent_t;
 
 /*
- * What the core asks of the process around it. None may call back into the
- * core.
+ * Functions that the process provides to the core. None may call back into
+ * the core. Arguments are borrowed for the length of the call.
  */
 typedef struct dy_agent_callbacks {
-	uint64_t (*now_us)(void *context); /* monotonic */
+	/* Returns the monotonic time in microseconds. */
+	uint64_t (*now_us)(void *context);
+	/* Send an answer to a balancer. */
 	void (*answer)(void *context, const dy_address_t *to,
 		       dy_answer_t *answer);
 	void (*bounce)(void *context, const dy_address_t *to,
 		       dy_bounce_t *bounce);
-	/* Pass a call on to another agent. */
+	/* Send a call on to another agent. */
 	void (*relay)(void *context, const dy_address_t *to,
 		      dy_forward_t *forward);
 	void (*handover)(void *context, const dy_address_t *to,
 			 dy_handover_t *handover);
-	/* Connect; dy_agent_link_up() or dy_agent_link_down() follows. */
+	/*
+	 * Connect. Call dy_agent_link_up() or dy_agent_link_down() later, not
+	 * from within this callback.
+	 */
 	void (*link_open)(void *context, unsigned link,
 			  const dy_address_t *target);
-	/* Close at once; nothing more is heard of this connection. */
+	/* Close at once. Report no further events of this connection. */
 	void (*link_close)(void *context, unsigned link);
 	/*
-	 * Send one whole message. Returns 0, or -1 only if no byte of it has
-	 * been handed to the socket.
+	 * Send one whole message. Returns 0, or -1 only if no byte of it was
+	 * passed to the socket.
 	 */
 	int (*link_send)(void *context, unsigned link, const uint8_t *bytes,
 			 size_t len);
-	/* Tell control of this agent's state. */
+	/*
+	 * Report this agent's state to control. successors holds `count`
+	 * incarnations; it is NULL unless the agent has left.
+	 */
 	void (*state)(void *context, dy_member_state_t state,
 		      const uint64_t *successors, unsigned count);
 	/*
-	 * What the agent says of itself in its polls has changed; 0 slots
-	 * while its target answers nothing.
+	 * The target's data, as reported to control, has changed. slots is 0
+	 * while the target is unresponsive.
 	 */
 	void (*info)(void *context, const dy_announcement_t *target);
 	/*
-	 * It has left, and no call needs it any more: the process may end, or
-	 * create a new core for the target's next life.
+	 * The agent has left and relays no more calls. The process may exit,
+	 * or create a new core for the next incarnation of the target.
 	 */
 	void (*left)(void *context);
 } dy_agent_callbacks_t;
@@ -119,7 +131,7 @@
 	const char *name;
 	const char *environment;
 	const char *domain;
-	dy_address_t address; /* of its internal endpoint, for tokens */
+	dy_address_t address; /* of the internal endpoint, put into tokens */
 	uint64_t seed;	      /* random, new at each start */
 	dy_keyring_t *keyring;
 	dy_metrics_t *metrics;
@@ -127,49 +139,71 @@
 	void *context;
 } dy_agent_config_t;
 
-/* config is copied; what it points to must outlive the agent. */
+/*
+ * Create an agent. config is copied; the objects that it points to must
+ * outlive the agent. Never returns NULL.
+ */
 dy_agent_t *dy_agent_create(const dy_agent_config_t *config);
 
-/* Free it. Calls in progress get no answer any more. */
+/* Free the agent. Calls in progress get no answer. agent may be NULL. */
 void dy_agent_destroy(dy_agent_t *agent);
 
-/* From control: the incarnation granted, members, and the end of a poll. */
+/*
+ * Set the incarnation that control granted to this agent. The first one ends
+ * the joining state.
+ */
 void dy_agent_grant(dy_agent_t *agent, uint64_t incarnation);
+
+/* Record what control reports of a member, which may be this agent. */
 void dy_agent_member(dy_agent_t *agent, const dy_member_t *member);
+
+/* All members of one poll of control have been passed in. */
 void dy_agent_caught_up(dy_agent_t *agent);
 
-/* Whether its failure domain is evacuated: no new session is opened. */
+/*
+ * Set whether the failure domain of the agent is evacuated. If so, no new
+ * session is opened.
+ */
 void dy_agent_set_evacuated(dy_agent_t *agent, int evacuated);
 
-/* Whether a majority of control has confirmed this agent lately. */
+/*
+ * Set whether this agent holds a lease of control, that is, whether a majority
+ * has confirmed it recently. Without a lease no new session is opened.
+ */
 void dy_agent_set_lease(dy_agent_t *agent, int held);
 
 /*
- * Another process holds this agent's name. Nothing is opened, queued or
- * handed to the target any more; calls that the target has are finished.
+ * Stop serving because another process holds this agent's name. No session is
+ * opened and no call is queued or sent to the target any more. Calls that the
+ * target already has are finished.
  */
 void dy_agent_supersede(dy_agent_t *agent);
 
 /*
- * Take a document. The agent serves the first service that accepts its
- * target; where there is none any more, it drains.
+ * Apply a document. The agent serves the first service that accepts its
+ * target. If its service is no longer that one, the agent drains. Does nothing
+ * before the first announcement.
  */
 void dy_agent_set_document(dy_agent_t *agent, const dy_document_t *document);
 
 /*
- * Take an announcement of the target; *result is the reply to it. The first
- * one binds the agent to its service, unless that target is draining.
+ * Process an announcement of the target and write the reply to *result. The
+ * first one binds the agent to its service, unless the target is draining.
  */
 void dy_agent_announce(dy_agent_t *agent, const dy_announcement_t *announcement,
 		       dy_announce_result_t *result);
 
-/* Take a call that a balancer, or another agent, has forwarded. */
+/*
+ * Process a call that a balancer or another agent has forwarded. from is the
+ * sender; the answer goes there unless the call names an address to reply to.
+ */
 void dy_agent_forward(dy_agent_t *agent, const dy_address_t *from,
 		      const dy_forward_t *forward);
 
 /*
- * A connection to the target stands, is gone, or brought one whole message.
- * A message larger than the process takes arrives as bytes NULL.
+ * Report that a connection to the target is established, has failed, or has
+ * received one whole message. bytes is NULL for a message that exceeds the
+ * limit of the process.
  */
 void dy_agent_link_up(dy_agent_t *agent, unsigned link);
 void dy_agent_link_down(dy_agent_t *agent, unsigned link);
@@ -177,31 +211,41 @@
 			   const uint8_t *bytes, size_t len);
 
 /*
- * Take sessions from an agent that leaves. result's array is allocated and
- * freed by xdr_free().
+ * Receive sessions from an agent that leaves and write the reply to *result.
+ * The caller frees the arrays of result with xdr_free().
  */
 void dy_agent_take_handover(dy_agent_t *agent, const dy_handover_t *handover,
 			    dy_handover_result_t *result);
+
+/* Process a successor's reply to a handover message. */
 void dy_agent_handover_result(dy_agent_t *agent,
 			      const dy_handover_result_t *result);
 
 /*
- * Leave: take no new flow, end what is in progress, hand the sessions over.
- * why is a plain word for the log. `ends` says that the process must end, if
- * need be without a successor.
+ * Start to drain: open no new session, finish the calls in progress, hand the
+ * sessions over to successors, then leave. why is a single word for the log.
+ * exits says that the process must exit, after DY_AGENT_STOP_MAX_MS even
+ * without a successor.
  */
-void dy_agent_leave(dy_agent_t *agent, const char *why, int ends);
+void dy_agent_leave(dy_agent_t *agent, const char *why, int exits);
 
-/* Do what is due. */
+/* Run timers: leases, deadlines, reconnects, retransmits, the drain. */
 void dy_agent_tick(dy_agent_t *agent);
 
 dy_member_state_t dy_agent_state(const dy_agent_t *agent);
+
+/* Returns the number of sessions, those already handed over included. */
 unsigned dy_agent_session_count(const dy_agent_t *agent);
+
+/* Returns the member id, which depends on the environment and the name. */
 uint64_t dy_agent_id(const dy_agent_t *agent);
+
+/* Write the current load to *load, as reported to balancers. */
 void dy_agent_load(const dy_agent_t *agent, dy_load_t *load);
 
 /*
- * The service that it serves, or NULL. Valid until the next document.
+ * Returns the name of the service that the agent serves, or NULL. Valid until
+ * the next document.
  */
 const char *dy_agent_service(const dy_agent_t *agent);
 
--- a/src/process/agent/agent.c
+++ b/src/process/agent/agent.c
@@ -2,20 +2,20 @@
 
 #include <string.h>
 
-/* Sessions that end for want of use, in one turn. */
-#define EXPIRE_MOST 64
+/* Maximum number of idle sessions that expire in one tick. */
+#define EXPIRE_BATCH_MAX 64
 
-/* The report reads windows of minutes and more, in ms. */
-#define BURN_PUBLISH_MS 1000
+/* In ms. The reports read windows of minutes and more. */
+#define BURN_PUBLISH_INTERVAL_MS 1000
 
-/* Until a document says how many. */
-#define FIRST_CONNECTIONS 2000
+/* Limit of sessions until a document sets one. */
+#define INITIAL_SESSIONS_MAX 2000
 
 static dy_admission_t *create_admission(dy_agent_t *agent)
 {
 	dy_admission_config_t config;
 
-	dy_admission_config_init(&config, agent->up);
+	dy_admission_config_init(&config, agent->links_up);
 	if (agent->service.known) {
 		config.queue_limit = agent->service.queue;
 		config.default_budget_us = agent->service.deadline_ms * 1000ULL;
@@ -38,11 +38,11 @@
 	agent->departed = g_hash_table_new_full(g_int64_hash, g_int64_equal,
 						NULL, g_free);
 	agent->sessions = dy_sessions_create(
-		FIRST_CONNECTIONS, DY_SERVICE_DEFAULT_SESSION_IDLE_S * 1000ULL,
-		config->seed);
+		INITIAL_SESSIONS_MAX,
+		DY_SERVICE_DEFAULT_SESSION_IDLE_S * 1000ULL, config->seed);
 	agent->admission = create_admission(agent);
 	agent->burn = dy_burn_create();
-	g_queue_init(&agent->claimed);
+	g_queue_init(&agent->awaiting_link);
 	g_queue_init(&agent->cancels);
 	agent_event_init(agent);
 	return agent;
@@ -82,18 +82,18 @@
 }
 
 /*
- * Without a lease of control the agent may be cut off from it, and its name
- * given to another: sessions that stand go on, because nobody else can run
- * their calls, and cutting them would be the very outage that the group
- * cannot order just now. New flows go where control still reaches, so that
- * an agent which is about to be replaced does not gather more.
+ * Without a lease the agent may be partitioned from control, and its name may
+ * have been given to another process. Existing sessions go on: no other agent
+ * can run their calls, and ending them would cause an outage that control did
+ * not order. New flows go to agents with a lease, so that an agent that is
+ * about to be replaced gets no more sessions.
  */
 void dy_agent_set_lease(dy_agent_t *agent, int held)
 {
 	if (agent->lease_held == held)
 		return;
 	agent->lease_held = held;
-	agent_note(agent, EVENT_CONTROL_LEASE, "held=%d", held);
+	agent_log_event(agent, EVENT_CONTROL_LEASE, "held=%d", held);
 }
 
 void dy_agent_set_evacuated(dy_agent_t *agent, int evacuated)
@@ -106,9 +106,9 @@
 	if (agent->superseded)
 		return;
 	agent->superseded = 1;
-	agent_call_stop_unsent(agent, DY_EVENT_STOPPING);
-	agent_note(agent, EVENT_SUPERSEDED, "incarnation=%lu",
-		   (unsigned long)agent->incarnation);
+	agent_call_refuse_unsent(agent, DY_EVENT_STOPPING);
+	agent_log_event(agent, EVENT_SUPERSEDED, "incarnation=%lu",
+			(unsigned long)agent->incarnation);
 }
 
 static void describe_target(const dy_agent_t *agent, dy_member_info_t *info)
@@ -140,7 +140,7 @@
 	return NULL;
 }
 
-static void take_service(dy_agent_t *agent, const dy_service_t *from)
+static void set_service(dy_agent_t *agent, const dy_service_t *from)
 {
 	agent_service_t *service = &agent->service;
 
@@ -176,10 +176,10 @@
 			       MIN(service->connections, target->connections),
 			       service->session_idle_s * 1000ULL);
 	agent_target_set_slots(agent);
-	if (agent->slots == agent->crowd_slots)
+	if (agent->slots == agent->rate_limit_slots)
 		return;
-	agent->crowd_slots = agent->slots;
-	dy_session_rate_limit_init(&agent->crowd, agent->slots,
+	agent->rate_limit_slots = agent->slots;
+	dy_session_rate_limit_init(&agent->session_rate_limit, agent->slots,
 				   agent_now_ms(agent));
 }
 
@@ -187,7 +187,7 @@
 {
 	int first = !agent->service.known;
 
-	take_service(agent, service);
+	set_service(agent, service);
 	if (first) {
 		dy_admission_destroy(agent->admission);
 		agent->admission = create_admission(agent);
@@ -222,7 +222,7 @@
 	char name[2 * DY_NAME_BYTES];
 
 	if (!agent->service.known ||
-	    now - agent->burn_published_ms < BURN_PUBLISH_MS)
+	    now - agent->burn_published_ms < BURN_PUBLISH_INTERVAL_MS)
 		return;
 	agent->burn_published_ms = now;
 	dy_burn_publish(agent->burn, agent->config.metrics, agent->service.name,
@@ -232,12 +232,13 @@
 		(uint64_t)(agent->service.objective * 10000);
 }
 
-static void adapt_crowd(dy_agent_t *agent)
+static void adapt_session_rate_limit(dy_agent_t *agent)
 {
 	dy_admission_load_t load;
 
 	dy_admission_load(agent->admission, agent_now_us(agent), &load);
-	dy_session_rate_limit_adapt(&agent->crowd, load.expected_wait_us / 1000,
+	dy_session_rate_limit_adapt(&agent->session_rate_limit,
+				    load.expected_wait_us / 1000,
 				    agent_now_ms(agent));
 }
 
@@ -246,18 +247,19 @@
 	unsigned expired;
 
 	agent_target_tick(agent);
-	agent_call_expire_started(agent);
+	agent_call_expire_admitted(agent);
 	agent_cancel_tick(agent);
-	agent_call_pump(agent);
-	adapt_crowd(agent);
+	agent_call_dispatch(agent);
+	adapt_session_rate_limit(agent);
 	publish_burn(agent);
 	expired = dy_sessions_expire(agent->sessions, agent_now_ms(agent),
-				     EXPIRE_MOST);
+				     EXPIRE_BATCH_MAX);
 	if (expired) {
-		agent_note(agent, EVENT_SESSIONS_EXPIRED, "count=%u", expired);
+		agent_log_event(agent, EVENT_SESSIONS_EXPIRED, "count=%u",
+				expired);
 		*agent->counters[EVENT_SESSIONS_EXPIRED] += expired - 1;
 	}
-	agent_leave_tick(agent);
+	agent_drain_tick(agent);
 }
 
 dy_member_state_t dy_agent_state(const dy_agent_t *agent)
--- a/src/process/agent/agent_answer.c
+++ b/src/process/agent/agent_answer.c
@@ -16,7 +16,7 @@
 	answer.datagram.datagram_len = (u_int)len;
 	answer.datagram.datagram_val = (char *)agent->out;
 	dy_agent_load(agent, &answer.load);
-	agent->config.callbacks->answer(agent->config.context, &route->to,
+	agent->config.callbacks->answer(agent->config.context, &route->balancer,
 					&answer);
 }
 
@@ -39,10 +39,11 @@
 }
 
 /*
- * A token goes out with a success unless the caller holds the current one: a
- * token whose key is outdated, or that names the session's earlier owner, is
- * replaced without another message. Signing each answer would cost as much as
- * sealing it. A guest keeps the token of its own agent.
+ * A successful answer carries a token unless the caller holds the current one.
+ * This replaces a token whose key is outdated, or that names an earlier owner
+ * of the session, without another message. To sign a token for each answer
+ * would cost as much as to seal the answer. The caller of a transient session
+ * keeps the token of its own agent.
  */
 static uint32_t write_token(dy_agent_t *agent, dy_session_t *session,
 			    const route_t *route,
@@ -92,11 +93,11 @@
 {
 	dy_bounce_t bounce = { 0 };
 
-	agent_note(agent, EVENT_FORWARD_BOUNCED, "reason=%s",
-		   dy_reason_name(reason));
+	agent_log_event(agent, EVENT_FORWARD_BOUNCED, "reason=%s",
+			dy_reason_name(reason));
 	bounce.forward = *forward;
 	bounce.reason = reason;
 	dy_agent_load(agent, &bounce.load);
-	agent->config.callbacks->bounce(agent->config.context, &route->to,
+	agent->config.callbacks->bounce(agent->config.context, &route->balancer,
 					&bounce);
 }
--- a/src/process/agent/agent_call.c
+++ b/src/process/agent/agent_call.c
@@ -12,7 +12,7 @@
 
 	DY_LIST_EACH(pos, &session->calls)
 	{
-		call = DY_LIST_ITEM(pos, call_t, link);
+		call = DY_LIST_ITEM(pos, call_t, session_link);
 		if (call->xid == xid)
 			return call;
 	}
@@ -21,15 +21,15 @@
 
 static void free_call(call_t *call)
 {
-	dy_list_remove(&call->link);
+	dy_list_remove(&call->session_link);
 	call->session->call_count--;
 	g_free(call->args);
 	g_free(call);
 }
 
-/* Give back the place that the call has in the queue or on a connection. */
-static void release_place(dy_agent_t *agent, call_t *call,
-			  dy_admission_end_t end)
+/* Release the call's position in the queue, or its slot and connection. */
+static void release_slot(dy_agent_t *agent, call_t *call,
+			 dy_admission_end_t end)
 {
 	switch (call->stage) {
 	case DY_STAGE_QUEUED:
@@ -38,9 +38,9 @@
 	case DY_STAGE_ADMITTED:
 	case DY_STAGE_SENT:
 		if (call->has_link)
-			agent->links[call->on_link].call = NULL;
+			agent->links[call->link_index].call = NULL;
 		else
-			g_queue_remove(&agent->claimed, call);
+			g_queue_remove(&agent->awaiting_link, call);
 		dy_admission_finish(agent->admission, &call->admission, end,
 				    agent_now_us(agent));
 		break;
@@ -49,17 +49,17 @@
 	}
 }
 
-static void drop_guest(dy_agent_t *agent, dy_session_t *session)
+static void remove_unused_transient(dy_agent_t *agent, dy_session_t *session)
 {
 	if (session->transient && dy_list_empty(&session->calls))
 		dy_sessions_remove(agent->sessions, session);
 }
 
-/* From here on the call has its outcome; a second one would be a fault. */
+/* Mark the call as done. Each call has exactly one outcome. */
 static void close_call(dy_agent_t *agent, call_t *call, dy_admission_end_t end)
 {
 	dy_assert(call->stage != DY_STAGE_DONE);
-	release_place(agent, call, end);
+	release_slot(agent, call, end);
 	call->stage = DY_STAGE_DONE;
 }
 
@@ -73,18 +73,19 @@
 	if (!call->idempotent)
 		dy_drc_refuse(session->drc, call->xid, refusal,
 			      agent_now_ms(agent));
-	agent_note(agent,
-		   refusal->verdict == DY_NOT_RUN ? EVENT_CALLS_NOT_RUN
-						  : EVENT_CALLS_MAY_HAVE_RUN,
-		   "reason=%s session=%016lx xid=%08x",
-		   dy_reason_name(refusal->reason), (unsigned long)session->id,
-		   call->xid);
+	agent_log_event(agent,
+			refusal->verdict == DY_NOT_RUN
+				? EVENT_CALLS_NOT_RUN
+				: EVENT_CALLS_MAY_HAVE_RUN,
+			"reason=%s session=%016lx xid=%08x",
+			dy_reason_name(refusal->reason),
+			(unsigned long)session->id, call->xid);
 	agent_answer_refusal(agent, &call->route, call->xid, refusal);
 	free_call(call);
-	drop_guest(agent, session);
+	remove_unused_transient(agent, session);
 }
 
-static int is_answer(dy_call_event_t event)
+static int is_reply_event(dy_call_event_t event)
 {
 	return event == DY_EVENT_SHED_NOT_RUN ||
 	       event == DY_EVENT_SHED_MAY_HAVE_RUN ||
@@ -104,22 +105,22 @@
 	dy_assert(!decision.forward_answer);
 	if (call->stage != DY_STAGE_SENT)
 		end = DY_ADMISSION_UNSENT;
-	else if (is_answer(event))
+	else if (is_reply_event(event))
 		end = DY_ADMISSION_ANSWERED;
 	refuse_call(agent, call, &refusal, end);
 	return decision;
 }
 
-/* An answer is recorded only if it can be given whole. */
-void agent_call_pass(dy_agent_t *agent, call_t *call,
-		     const dy_rpc_reply_t *reply)
+/* An answer enters the cache only if it fits into one datagram. */
+void agent_call_complete(dy_agent_t *agent, call_t *call,
+			 const dy_rpc_reply_t *reply)
 {
 	dy_session_t *session = call->session;
 
 	if (reply->results_len + DY_TOKEN_VERIFIER_BYTES + 24 >
 	    DY_DATAGRAM_BYTES) {
-		agent_note(agent, EVENT_ANSWER_TOO_LARGE, "bytes=%zu",
-			   reply->results_len);
+		agent_log_event(agent, EVENT_ANSWER_TOO_LARGE, "bytes=%zu",
+				reply->results_len);
 		agent_call_event(agent, call, DY_EVENT_ANSWER_TOO_LARGE, 0);
 		return;
 	}
@@ -138,7 +139,7 @@
 				reply->status, reply->results,
 				reply->results_len));
 	free_call(call);
-	drop_guest(agent, session);
+	remove_unused_transient(agent, session);
 }
 
 static int find_idle_link(const dy_agent_t *agent)
@@ -151,7 +152,7 @@
 	return -1;
 }
 
-static size_t write_to_target(dy_agent_t *agent, call_t *call)
+static size_t write_target_call(dy_agent_t *agent, call_t *call)
 {
 	const dy_session_t *session = call->session;
 	uint64_t now_us = agent_now_us(agent);
@@ -182,10 +183,10 @@
 }
 
 /*
- * The one place from which a call reaches the target. Guards against a
- * second run, and against a run after the handover: both would store a
- * reading twice. It holds because the cache marks the xid as started for
- * good, and a moved session never becomes one of this agent again.
+ * The only place that sends a call to the target. Guards against a second run
+ * and against a run after the handover; both would store a reading twice. The
+ * cache marks the xid as started permanently, and a moved session never
+ * becomes local to this agent again.
  */
 static void send_call(dy_agent_t *agent, call_t *call, unsigned index)
 {
@@ -197,10 +198,10 @@
 	dy_assert(call->stage == DY_STAGE_ADMITTED && !call->has_link);
 	dy_assert(!agent->links[index].call);
 	call->has_link = 1;
-	call->on_link = index;
+	call->link_index = index;
 	call->target_xid = agent->next_xid++;
 	agent->links[index].call = call;
-	len = write_to_target(agent, call);
+	len = write_target_call(agent, call);
 	dy_assert(len);
 	if (!call->idempotent)
 		dy_drc_start(session->drc, call->xid);
@@ -214,32 +215,33 @@
 }
 
 /*
- * The call has a slot. Its connection may be on its way still, where the
- * target was started anew or the last one was closed.
+ * The call gets a slot now and a connection when one is idle: after a restart
+ * of the target, or after a connection was closed, the next connection may not
+ * be up yet.
  */
-static void claim(dy_agent_t *agent, dy_admission_item_t *item)
+static void assign_slot(dy_agent_t *agent, dy_admission_item_t *item)
 {
 	call_t *call = DY_LIST_ITEM(item, call_t, admission);
 
 	dy_assert(call->stage < DY_STAGE_ADMITTED);
 	call->stage = DY_STAGE_ADMITTED;
-	g_queue_push_tail(&agent->claimed, call);
+	g_queue_push_tail(&agent->awaiting_link, call);
 }
 
-static void send_claimed(dy_agent_t *agent)
+static void send_admitted(dy_agent_t *agent)
 {
 	int index;
 
-	while (!g_queue_is_empty(&agent->claimed)) {
+	while (!g_queue_is_empty(&agent->awaiting_link)) {
 		index = find_idle_link(agent);
 		if (index < 0)
 			return;
-		send_call(agent, g_queue_pop_head(&agent->claimed),
+		send_call(agent, g_queue_pop_head(&agent->awaiting_link),
 			  (unsigned)index);
 	}
 }
 
-void agent_call_pump(dy_agent_t *agent)
+void agent_call_dispatch(dy_agent_t *agent)
 {
 	dy_admission_refusal_t refusal;
 	dy_admission_item_t *item;
@@ -254,8 +256,8 @@
 	}
 	while ((item = dy_admission_next(agent->admission,
 					 agent_now_us(agent))))
-		claim(agent, item);
-	send_claimed(agent);
+		assign_slot(agent, item);
+	send_admitted(agent);
 }
 
 static void submit_call(dy_agent_t *agent, call_t *call)
@@ -266,7 +268,7 @@
 	switch (dy_admission_submit(agent->admission, &call->admission,
 				    agent_now_us(agent), &refusal)) {
 	case DY_ADMISSION_RUN:
-		claim(agent, &call->admission);
+		assign_slot(agent, &call->admission);
 		break;
 	case DY_ADMISSION_QUEUED:
 		call->stage = DY_STAGE_QUEUED;
@@ -277,7 +279,7 @@
 		agent_call_event(agent, call, event, refusal.retry_after_ms);
 		break;
 	}
-	agent_call_pump(agent);
+	agent_call_dispatch(agent);
 }
 
 static call_t *create_call(dy_agent_t *agent, dy_session_t *session,
@@ -302,36 +304,36 @@
 	if (idempotent)
 		call->admission.key = XXH3_64bits_withSeed(
 			message->args, message->args_len, message->procedure);
-	dy_list_append(&session->calls, &call->link);
+	dy_list_append(&session->calls, &call->session_link);
 	session->call_count++;
 	return call;
 }
 
-/* Refuse a call that is entered in the cache, before it is anything else. */
-static void refuse_entered(dy_agent_t *agent, call_t *call, dy_reason_t reason,
-			   uint32_t retry_ms)
+/* Refuse a call that is in the cache but was not submitted to admission. */
+static void refuse_new_call(dy_agent_t *agent, call_t *call, dy_reason_t reason,
+			    uint32_t retry_ms)
 {
 	dy_refusal_t refusal = { DY_NOT_RUN, reason, retry_ms };
 
 	refuse_call(agent, call, &refusal, DY_ADMISSION_UNSENT);
 }
 
-static int enter_call(dy_agent_t *agent, dy_session_t *session, uint32_t xid,
-		      uint32_t *retry_ms)
+static int begin_drc_entry(dy_agent_t *agent, dy_session_t *session,
+			   uint32_t xid, uint32_t *retry_ms)
 {
-	dy_drc_begin_result_t room;
+	dy_drc_begin_result_t result;
 
 	if (!session->drc)
 		session->drc = dy_drc_create();
-	room = dy_drc_begin(session->drc, xid, agent_now_ms(agent), retry_ms);
-	if (room == DY_DRC_OVERFLOW) {
-		agent_note(agent, EVENT_DRC_OVERFLOW, "session=%016lx",
-			   (unsigned long)session->id);
+	result = dy_drc_begin(session->drc, xid, agent_now_ms(agent), retry_ms);
+	if (result == DY_DRC_OVERFLOW) {
+		agent_log_event(agent, EVENT_DRC_OVERFLOW, "session=%016lx",
+				(unsigned long)session->id);
 		return -1;
 	}
-	if (room == DY_DRC_FULL)
-		agent_note(agent, EVENT_DRC_FULL, "session=%016lx",
-			   (unsigned long)session->id);
+	if (result == DY_DRC_FULL)
+		agent_log_event(agent, EVENT_DRC_FULL, "session=%016lx",
+				(unsigned long)session->id);
 	return 0;
 }
 
@@ -342,35 +344,36 @@
 	uint32_t retry_ms = 0;
 	call_t *call;
 
-	if (!idempotent && enter_call(agent, session, message->xid, &retry_ms))
+	if (!idempotent &&
+	    begin_drc_entry(agent, session, message->xid, &retry_ms))
 		return;
 	call = create_call(agent, session, route, message, idempotent);
 	if (retry_ms || session->call_count > SESSION_CALLS_MAX)
-		refuse_entered(agent, call, DY_REASON_SESSION_LIMIT,
-			       MAX(retry_ms, RETRY_MS));
-	else if (!agent_target_ready(agent))
-		agent_call_event(agent, call, DY_EVENT_TARGET_LOST, RETRY_MS);
+		refuse_new_call(agent, call, DY_REASON_SESSION_LIMIT,
+				MAX(retry_ms, RETRY_AFTER_MS));
+	else if (!agent_target_is_ready(agent))
+		agent_call_event(agent, call, DY_EVENT_TARGET_LOST,
+				 RETRY_AFTER_MS);
 	else
 		submit_call(agent, call);
 }
 
 /*
- * A call whose deadline passes with the target gets its outcome at once, and
- * its connection is closed: whatever the target still answers there reaches
- * nobody.
+ * A call whose deadline passes after it was sent gets its outcome at once. Its
+ * connection is closed, so that a late answer is not read.
  */
-static void give_up_sent(dy_agent_t *agent, call_t *call)
+static void expire_sent_call(dy_agent_t *agent, call_t *call)
 {
-	unsigned index = call->on_link;
+	unsigned index = call->link_index;
 
-	agent_note(agent, EVENT_DEADLINE_PASSED, "session=%016lx xid=%08x",
-		   (unsigned long)call->session->id, call->xid);
-	agent_cancel_tell_target(agent, call);
+	agent_log_event(agent, EVENT_DEADLINE_PASSED, "session=%016lx xid=%08x",
+			(unsigned long)call->session->id, call->xid);
+	agent_cancel_notify_target(agent, call);
 	agent_call_event(agent, call, DY_EVENT_DEADLINE, 0);
 	agent_link_close(agent, index);
 }
 
-void agent_call_expire_started(dy_agent_t *agent)
+void agent_call_expire_admitted(dy_agent_t *agent)
 {
 	uint64_t now_us = agent_now_us(agent);
 	call_t *call;
@@ -379,25 +382,25 @@
 	for (i = 0; i < DY_AGENT_SLOTS_MAX; i++) {
 		call = agent->links[i].call;
 		if (call && now_us >= call->deadline_us)
-			give_up_sent(agent, call);
+			expire_sent_call(agent, call);
 	}
-	for (i = 0; (call = g_queue_peek_nth(&agent->claimed, i));) {
+	for (i = 0; (call = g_queue_peek_nth(&agent->awaiting_link, i));) {
 		if (now_us >= call->deadline_us)
 			agent_call_event(agent, call, DY_EVENT_DEADLINE,
-					 RETRY_MS);
+					 RETRY_AFTER_MS);
 		else
 			i++;
 	}
 }
 
-typedef struct stop {
+typedef struct refuse_unsent_context {
 	dy_agent_t *agent;
 	dy_call_event_t event;
-} stop_t;
+} refuse_unsent_context_t;
 
-static void stop_unsent(void *context, dy_session_t *session)
+static void refuse_session_unsent(void *context, dy_session_t *session)
 {
-	const stop_t *stop = context;
+	const refuse_unsent_context_t *refusal = context;
 	dy_list_t *pos;
 	dy_list_t *tmp;
 	call_t *call;
@@ -405,25 +408,25 @@
 
 	DY_LIST_EACH_SAFE(pos, tmp, &session->calls)
 	{
-		call = DY_LIST_ITEM(pos, call_t, link);
+		call = DY_LIST_ITEM(pos, call_t, session_link);
 		is_last = tmp == &session->calls;
 		if (call->stage < DY_STAGE_SENT)
-			agent_call_event(stop->agent, call, stop->event,
-					 RETRY_MS);
-		/* A guest's session goes with its last call. */
+			agent_call_event(refusal->agent, call, refusal->event,
+					 RETRY_AFTER_MS);
+		/* A transient session is removed with its last call. */
 		if (is_last)
 			break;
 	}
 }
 
-void agent_call_stop_unsent(dy_agent_t *agent, dy_call_event_t event)
+void agent_call_refuse_unsent(dy_agent_t *agent, dy_call_event_t event)
 {
-	stop_t stop = { agent, event };
+	refuse_unsent_context_t refusal = { agent, event };
 
-	dy_sessions_each(agent->sessions, stop_unsent, &stop);
+	dy_sessions_each(agent->sessions, refuse_session_unsent, &refusal);
 }
 
-static void drop_calls(void *context, dy_session_t *session)
+static void drop_session_calls(void *context, dy_session_t *session)
 {
 	dy_agent_t *agent = context;
 	dy_list_t *pos;
@@ -432,7 +435,7 @@
 
 	DY_LIST_EACH_SAFE(pos, tmp, &session->calls)
 	{
-		call = DY_LIST_ITEM(pos, call_t, link);
+		call = DY_LIST_ITEM(pos, call_t, session_link);
 		close_call(agent, call, DY_ADMISSION_ABANDONED);
 		free_call(call);
 	}
@@ -440,5 +443,5 @@
 
 void agent_call_drop_all(dy_agent_t *agent)
 {
-	dy_sessions_each(agent->sessions, drop_calls, agent);
+	dy_sessions_each(agent->sessions, drop_session_calls, agent);
 }
--- a/src/process/agent/agent_cancel.c
+++ b/src/process/agent/agent_cancel.c
@@ -4,7 +4,7 @@
 
 #include <rpc/rpc.h>
 
-/* A target that takes cancellation answers it within this, in ms. */
+/* Timeout of a cancellation, from when it is queued, in ms. */
 #define CANCEL_TIMEOUT_MS 500
 
 static void answer_cancel(dy_agent_t *agent, dy_session_t *session,
@@ -27,12 +27,12 @@
 	cancel->session = session;
 	cancel->xid = xid;
 	cancel->target_xid = agent->next_xid++;
-	cancel->made_ms = agent_now_ms(agent);
+	cancel->created_ms = agent_now_ms(agent);
 	g_queue_push_tail(&agent->cancels, cancel);
 	return cancel;
 }
 
-static int takes_cancel(const dy_agent_t *agent)
+static int is_cancel_available(const dy_agent_t *agent)
 {
 	return agent->target.takes_cancel &&
 	       agent->links[DY_AGENT_CANCEL_LINK].state == LINK_UP;
@@ -57,14 +57,14 @@
 				 sizeof(agent->call_out));
 }
 
-/* One at a time, as on every connection. */
-static void send_next(dy_agent_t *agent)
+/* Only one cancellation is in progress on the connection. */
+static void send_next_cancel(dy_agent_t *agent)
 {
 	cancel_t *cancel;
 	size_t len;
 
 	cancel = g_queue_peek_head(&agent->cancels);
-	if (!cancel || cancel->sent_ms || !takes_cancel(agent))
+	if (!cancel || cancel->sent_ms || !is_cancel_available(agent))
 		return;
 	cancel->sent_ms = agent_now_ms(agent);
 	len = write_cancel(agent, cancel);
@@ -74,17 +74,18 @@
 		agent_link_close(agent, DY_AGENT_CANCEL_LINK);
 }
 
-void agent_cancel_tell_target(dy_agent_t *agent, const call_t *call)
+void agent_cancel_notify_target(dy_agent_t *agent, const call_t *call)
 {
-	if (!takes_cancel(agent))
+	if (!is_cancel_available(agent))
 		return;
 	add_cancel(agent, call->session->id, call->xid);
-	send_next(agent);
+	send_next_cancel(agent);
 }
 
-/* What a call that is not in progress came to. */
-static void answer_ended(dy_agent_t *agent, dy_session_t *session,
-			 const route_t *route, uint32_t reply_xid, uint32_t xid)
+/* Answer a cancellation with the outcome of a call that has ended. */
+static void answer_with_outcome(dy_agent_t *agent, dy_session_t *session,
+				const route_t *route, uint32_t reply_xid,
+				uint32_t xid)
 {
 	dy_drc_found_t found;
 
@@ -111,27 +112,28 @@
 	dy_decision_t decision;
 	cancel_t *cancel;
 
-	if (call->stage == DY_STAGE_SENT && takes_cancel(agent)) {
+	if (call->stage == DY_STAGE_SENT && is_cancel_available(agent)) {
 		cancel = add_cancel(agent, session->id, call->xid);
-		cancel->wants_reply = 1;
+		cancel->needs_reply = 1;
 		cancel->reply_xid = reply_xid;
 		cancel->route = *route;
-		send_next(agent);
+		send_next_cancel(agent);
 		return;
 	}
 	decision = agent_call_event(agent, call, DY_EVENT_CANCEL, 0);
 	answer_cancel(agent, session, route, reply_xid, decision.verdict,
 		      decision.reason);
-	agent_call_pump(agent);
+	agent_call_dispatch(agent);
 }
 
 /*
- * A cancellation that overtakes its call finds nothing, and cannot know
- * whether that call is idempotent and has run already: it says so. The xid
- * is entered as refused, so that the call does not run later.
+ * A cancellation that overtakes its call finds no entry for it. The call may be
+ * idempotent and may have run already, so that the answer is "may have run".
+ * The xid is entered into the cache as refused, so that the call does not run
+ * later.
  */
-static void refuse_beforehand(dy_agent_t *agent, dy_session_t *session,
-			      uint32_t xid)
+static void refuse_future_call(dy_agent_t *agent, dy_session_t *session,
+			       uint32_t xid)
 {
 	dy_refusal_t refusal = { DY_MAY_HAVE_RUN, DY_REASON_CANCELLED, 0 };
 	dy_drc_found_t found;
@@ -146,8 +148,9 @@
 		dy_drc_refuse(session->drc, xid, &refusal, agent_now_ms(agent));
 }
 
-void agent_cancel_call(dy_agent_t *agent, dy_session_t *session,
-		       const route_t *route, const dy_rpc_call_t *message)
+void agent_cancel_receive_call(dy_agent_t *agent, dy_session_t *session,
+			       const route_t *route,
+			       const dy_rpc_call_t *message)
 {
 	uint32_t xid;
 	call_t *call;
@@ -167,14 +170,14 @@
 		cancel_in_progress(agent, call, route, message->xid);
 		return;
 	}
-	refuse_beforehand(agent, session, xid);
-	answer_ended(agent, session, route, message->xid, xid);
+	refuse_future_call(agent, session, xid);
+	answer_with_outcome(agent, session, route, message->xid, xid);
 }
 
-/* The target's connection is closed: no answer of the call may follow. */
-static void grant(dy_agent_t *agent, call_t *call)
+/* The connection is closed, so that no answer to the call can follow. */
+static void complete_granted_cancel(dy_agent_t *agent, call_t *call)
 {
-	unsigned index = call->on_link;
+	unsigned index = call->link_index;
 
 	agent_count(agent, EVENT_CANCELS_GRANTED);
 	agent_call_event(agent, call, DY_EVENT_CANCEL_GRANTED, 0);
@@ -189,19 +192,19 @@
 	dy_verdict_t verdict = granted ? DY_NOT_RUN : DY_MAY_HAVE_RUN;
 
 	if (granted && call && call->stage == DY_STAGE_SENT) {
-		grant(agent, call);
-	} else if (!call && cancel->wants_reply && session) {
-		answer_ended(agent, session, &cancel->route, cancel->reply_xid,
-			     cancel->xid);
-		cancel->wants_reply = 0;
+		complete_granted_cancel(agent, call);
+	} else if (!call && cancel->needs_reply && session) {
+		answer_with_outcome(agent, session, &cancel->route,
+				    cancel->reply_xid, cancel->xid);
+		cancel->needs_reply = 0;
 	}
-	if (cancel->wants_reply && session)
+	if (cancel->needs_reply && session)
 		answer_cancel(agent, session, &cancel->route, cancel->reply_xid,
 			      verdict, DY_REASON_CANCELLED);
 }
 
-/* Settle the oldest cancellation. */
-static void settle_first(dy_agent_t *agent, int granted)
+/* Finish the oldest cancellation. */
+static void finish_first(dy_agent_t *agent, int granted)
 {
 	cancel_t *cancel = g_queue_pop_head(&agent->cancels);
 
@@ -209,7 +212,8 @@
 	g_free(cancel);
 }
 
-void agent_cancel_receive(dy_agent_t *agent, const uint8_t *bytes, size_t len)
+void agent_cancel_receive_reply(dy_agent_t *agent, const uint8_t *bytes,
+				size_t len)
 {
 	cancel_t *cancel = g_queue_peek_head(&agent->cancels);
 	dy_rpc_reply_t reply;
@@ -219,7 +223,7 @@
 	if (!bytes || !cancel || !cancel->sent_ms ||
 	    dy_rpc_parse_reply(bytes, len, &reply) ||
 	    reply.xid != cancel->target_xid) {
-		agent_note(agent, EVENT_ANSWER_BAD, "link=cancel");
+		agent_log_event(agent, EVENT_ANSWER_BAD, "link=cancel");
 		agent_link_close(agent, DY_AGENT_CANCEL_LINK);
 		return;
 	}
@@ -228,15 +232,15 @@
 	if (reply.denied || reply.status != SUCCESS ||
 	    !xdr_bool(&xdrs, &granted))
 		granted = FALSE;
-	settle_first(agent, granted);
-	send_next(agent);
-	agent_call_pump(agent);
+	finish_first(agent, granted);
+	send_next_cancel(agent);
+	agent_call_dispatch(agent);
 }
 
 void agent_cancel_fail_all(dy_agent_t *agent)
 {
 	while (!g_queue_is_empty(&agent->cancels))
-		settle_first(agent, 0);
+		finish_first(agent, 0);
 }
 
 void agent_cancel_drop_all(dy_agent_t *agent)
@@ -251,7 +255,7 @@
 	cancel = g_queue_peek_head(&agent->cancels);
 	if (!cancel)
 		return;
-	if (agent_now_ms(agent) - cancel->made_ms >= CANCEL_TIMEOUT_MS)
+	if (agent_now_ms(agent) - cancel->created_ms >= CANCEL_TIMEOUT_MS)
 		agent_link_close(agent, DY_AGENT_CANCEL_LINK);
-	send_next(agent);
+	send_next_cancel(agent);
 }
--- a/src/process/agent/agent_event.c
+++ b/src/process/agent/agent_event.c
@@ -3,7 +3,7 @@
 #include <stdarg.h>
 #include <stdio.h>
 
-/* Lines of one event in each period: enough to see that it goes on. */
+/* Log lines of one event per period: enough to show that it persists. */
 #define LOG_BURST 5
 #define LOG_PERIOD_MS 10000
 
@@ -87,7 +87,8 @@
 	++*agent->counters[event];
 }
 
-void agent_note(dy_agent_t *agent, agent_event_t event, const char *pairs, ...)
+void agent_log_event(dy_agent_t *agent, agent_event_t event, const char *pairs,
+		     ...)
 {
 	char line[LINE_BYTES];
 	va_list args;
--- a/src/process/agent/agent_leave.c
+++ b/src/process/agent/agent_leave.c
@@ -5,76 +5,82 @@
 #include "damaskyard/successor.h"
 
 /*
- * How an agent leaves, and why a session is never run in two places:
+ * How an agent drains and leaves, so that a session never runs at two agents:
  *
- * 1. It takes no new flow, and tells control that it drains.
- * 2. Once control's log holds that, and all that stands before it in the
- *    log is known here, it chooses its successors among those that serve
- *    and answer (agent_successors.c).
- *    Of two agents that leave at the same time, the one whose draining
- *    stands later in the log sees the other's and does not choose it: no
- *    session is ever handed round in a circle.
- * 3. Each session whose calls have ended is marked as moved, and only then
- *    named in a message. From the mark on nothing of it runs here, whether
- *    the message or its acknowledgement arrives or not. The message is sent
- *    again, with the same contents, until a successor says that it has the
- *    session. Meanwhile calls of it are passed on to the successor.
- * 4. A successor that has left itself takes no more. If it says that it
- *    never took a session, the session goes to that one's own successor,
- *    where balancers look for it. If it dies before it said anything, it may
- *    have run calls that nobody remembers: the session is lost.
- * 5. When every session is settled the agent tells control that it has left,
- *    and to whom. It goes on passing calls to the successors until every
- *    balancer has had time to learn that.
+ * 1. The agent opens no new session and reports to control that it drains.
+ * 2. It waits until the drain is in control's log and all log entries before
+ *    it are known here. Then it chooses its successors among the agents that
+ *    serve and respond to an offer (agent_successors.c). If two agents drain
+ *    at the same time, the one whose drain is later in the log sees the
+ *    other's drain and does not choose that agent. So no session is handed
+ *    over in a circle.
+ * 3. A session whose calls have ended is marked as moved before any message
+ *    contains it. From then on none of its calls runs here, whether or not
+ *    the message or its acknowledgement arrives. The message is retransmitted
+ *    with the same contents until a successor accepts the session. Calls of
+ *    the session are relayed to the successor meanwhile.
+ * 4. A successor that has left accepts no sessions. If it replies that it
+ *    never accepted a session, the session goes to its own successor, where
+ *    balancers route the calls of the session. If it dies without a reply, it
+ *    may have run calls of which there is no record: the session is lost.
+ * 5. When every session is accepted or lost, the agent reports to control that
+ *    it has left, with its successors. It still relays calls to them until
+ *    every balancer has had time to learn this.
  */
 
-/* Sessions whose successor has not answered, at once. */
-#define OUTSTANDING_MAX 512
+/* Maximum number of sessions sent and not yet accepted. */
+#define HANDOVER_WINDOW_SESSIONS 512
 
-/* A message of a handover is sent again after this, in ms. */
-#define RESEND_MS 250
+/* Interval between two messages with the same session, in ms. */
+#define RETRANSMIT_INTERVAL_MS 250
 
-/* Bytes of the sessions in one message, unless one alone is larger. */
+/* A message is sent once its sessions reach this size. */
 #define BATCH_BYTES 8192
 
-/* Messages to a successor that left without a word of a session: 10 s. */
-#define TRIES_MAX 40
+/*
+ * Maximum number of messages with one session to a successor that has left and
+ * does not reply: 10 s.
+ */
+#define HANDOVER_ATTEMPTS_MAX 40
 
-/* Without sessions, control is told of the end for this long, in ms. */
-#define RECORD_MS 3000
+/*
+ * Timeout for control to record that an agent without sessions has left, in
+ * ms.
+ */
+#define LEFT_COMMIT_TIMEOUT_MS 3000
 
-/* A planned stop without any other agent of the service ends after this. */
-#define NO_SUCCESSOR_MS 5000
+/* Timeout of a planned stop if the service has no other agent, in ms. */
+#define NO_SUCCESSOR_TIMEOUT_MS 5000
 
 void dy_agent_leave(dy_agent_t *agent, const char *why, int ends)
 {
-	if (ends && !agent->ends) {
-		agent->ends = 1;
-		agent->ends_ms = agent_now_ms(agent);
+	if (ends && !agent->exit_after_drain) {
+		agent->exit_after_drain = 1;
+		agent->exit_requested_ms = agent_now_ms(agent);
 	}
 	if (agent->state == DY_MEMBER_DRAINING ||
 	    agent->state == DY_MEMBER_LEFT)
 		return;
 	agent->state = DY_MEMBER_DRAINING;
-	agent_note(agent, EVENT_DRAIN_STARTED, "why=%s sessions=%u", why,
-		   dy_sessions_count(agent->sessions));
+	agent_log_event(agent, EVENT_DRAIN_STARTED, "why=%s sessions=%u", why,
+			dy_sessions_count(agent->sessions));
 	agent->config.callbacks->state(agent->config.context,
 				       DY_MEMBER_DRAINING, NULL, 0);
 }
 
 void dy_agent_caught_up(dy_agent_t *agent)
 {
-	if (agent->drain_recorded)
-		agent->view_current = 1;
+	if (agent->drain_committed)
+		agent->members_current = 1;
 }
 
-/* One turn of the handover over all sessions. */
-typedef struct turn {
+/* State of one pass of the handover over all sessions. */
+typedef struct handover_pass {
 	dy_agent_t *agent;
-	GPtrArray *due; /* sessions to name in messages now */
+	GPtrArray *due; /* sessions to send now */
 	unsigned outstanding;
-	unsigned unsettled;
-} turn_t;
+	unsigned unfinished;
+} handover_pass_t;
 
 static int set_successor(dy_session_t *session, const member_t *member)
 {
@@ -86,16 +92,16 @@
 	return 0;
 }
 
-static void lose_session(dy_agent_t *agent, dy_session_t *session)
+static void mark_lost(dy_agent_t *agent, dy_session_t *session)
 {
 	session->state = DY_SESSION_LOST;
-	agent_note(agent, EVENT_SESSIONS_LOST, "session=%016lx",
-		   (unsigned long)session->id);
+	agent_log_event(agent, EVENT_SESSIONS_LOST, "session=%016lx",
+			(unsigned long)session->id);
 }
 
-static void move_session(turn_t *turn, dy_session_t *session)
+static void move_session(handover_pass_t *pass, dy_session_t *session)
 {
-	dy_agent_t *agent = turn->agent;
+	dy_agent_t *agent = pass->agent;
 	uint64_t incarnation;
 
 	if (!dy_list_empty(&session->calls)) {
@@ -104,73 +110,73 @@
 	}
 	incarnation = dy_successor_pick(session->id, agent->successors,
 					agent->successor_count);
-	if (set_successor(session, agent_member_follow(agent, session->id,
-						       incarnation))) {
-		lose_session(agent, session);
+	if (set_successor(session, agent_member_current_owner(
+					   agent, session->id, incarnation))) {
+		mark_lost(agent, session);
 		return;
 	}
 	session->state = DY_SESSION_MOVED;
 	agent_count(agent, EVENT_SESSIONS_MOVED);
-	turn->outstanding++;
-	g_ptr_array_add(turn->due, session);
+	pass->outstanding++;
+	g_ptr_array_add(pass->due, session);
 }
 
-/* Returns -1 if nobody can be asked to take the session any more. */
-static int follow_successor(dy_agent_t *agent, dy_session_t *session)
+/* Returns -1 if no agent can accept the session any more. */
+static int update_successor(dy_agent_t *agent, dy_session_t *session)
 {
-	owner_fate_t fate = agent_member_fate(agent, session->successor,
-					      session->successor_incarnation);
+	owner_status_t status = agent_member_owner_status(
+		agent, session->successor, session->successor_incarnation);
 
-	if (fate == OWNER_DEAD)
+	if (status == OWNER_DEAD)
 		return -1;
-	if (fate == OWNER_MAY_LIVE)
+	if (status == OWNER_MAYBE_ALIVE)
 		return 0;
 	if (session->refused)
-		return set_successor(
-			session,
-			agent_member_follow(agent, session->id,
-					    session->successor_incarnation));
-	return session->handover_attempts < TRIES_MAX ? 0 : -1;
+		return set_successor(session,
+				     agent_member_current_owner(
+					     agent, session->id,
+					     session->successor_incarnation));
+	return session->handover_attempts < HANDOVER_ATTEMPTS_MAX ? 0 : -1;
 }
 
-static void send_again(turn_t *turn, dy_session_t *session)
+static void retransmit_session(handover_pass_t *pass, dy_session_t *session)
 {
-	uint64_t now_ms = agent_now_ms(turn->agent);
+	uint64_t now_ms = agent_now_ms(pass->agent);
 
-	if (now_ms - session->handover_sent_ms < RESEND_MS)
+	if (now_ms - session->handover_sent_ms < RETRANSMIT_INTERVAL_MS)
 		return;
-	if (follow_successor(turn->agent, session))
-		lose_session(turn->agent, session);
+	if (update_successor(pass->agent, session))
+		mark_lost(pass->agent, session);
 	else
-		g_ptr_array_add(turn->due, session);
+		g_ptr_array_add(pass->due, session);
 }
 
 static void count_outstanding(void *context, dy_session_t *session)
 {
-	turn_t *turn = context;
+	handover_pass_t *pass = context;
 
 	if (session->state == DY_SESSION_MOVED)
-		turn->outstanding++;
+		pass->outstanding++;
 }
 
-static void visit_session(void *context, dy_session_t *session)
+static void process_session(void *context, dy_session_t *session)
 {
-	turn_t *turn = context;
+	handover_pass_t *pass = context;
 
 	if (session->transient) {
-		turn->unsettled++;
+		pass->unfinished++;
 		return;
 	}
 	if (session->state == DY_SESSION_LOCAL ||
 	    session->state == DY_SESSION_CLOSING) {
-		if (turn->agent->has_successors &&
-		    turn->outstanding < OUTSTANDING_MAX)
-			move_session(turn, session);
+		if (pass->agent->has_successors &&
+		    pass->outstanding < HANDOVER_WINDOW_SESSIONS)
+			move_session(pass, session);
 	} else if (session->state == DY_SESSION_MOVED) {
-		send_again(turn, session);
+		retransmit_session(pass, session);
 	}
 	if (session->state < DY_SESSION_ACCEPTED)
-		turn->unsettled++;
+		pass->unfinished++;
 }
 
 static gint compare_successors(gconstpointer a, gconstpointer b)
@@ -225,7 +231,7 @@
 		g_free(sessions[i].body.body_val);
 }
 
-/* Send the sessions that are due, as many as fit in each message. */
+/* Send the due sessions, grouped by successor into as few messages as fit. */
 static void send_due(dy_agent_t *agent, GPtrArray *due)
 {
 	dy_moved_session_t sessions[DY_HANDOVER_SESSIONS];
@@ -253,78 +259,80 @@
 		send_batch(agent, first, sessions, count);
 }
 
-static void finish_leaving(dy_agent_t *agent)
+static void finish_drain(dy_agent_t *agent)
 {
 	agent->state = DY_MEMBER_LEFT;
 	agent->left_ms = agent_now_ms(agent);
-	agent_note(agent, EVENT_LEFT, "sessions=%u successors=%u",
-		   dy_sessions_count(agent->sessions), agent->successor_count);
+	agent_log_event(agent, EVENT_LEFT, "sessions=%u successors=%u",
+			dy_sessions_count(agent->sessions),
+			agent->successor_count);
 	agent->config.callbacks->state(agent->config.context, DY_MEMBER_LEFT,
 				       agent->successors,
 				       agent->successor_count);
 }
 
-static void tell_left(dy_agent_t *agent)
+static void report_left(dy_agent_t *agent)
 {
-	if (agent->left_told)
+	if (agent->left_reported)
 		return;
-	agent->left_told = 1;
+	agent->left_reported = 1;
 	agent->config.callbacks->left(agent->config.context);
 }
 
-/* A planned stop waits no longer for what it cannot have. */
-static int has_waited_enough(const dy_agent_t *agent)
+/* A planned stop ends without a handover after a timeout. */
+static int is_stop_timeout_expired(const dy_agent_t *agent)
 {
-	uint64_t waited_ms = agent_now_ms(agent) - agent->ends_ms;
+	uint64_t waited_ms = agent_now_ms(agent) - agent->exit_requested_ms;
 
-	if (!agent->ends)
+	if (!agent->exit_after_drain)
 		return 0;
 	if (!agent->incarnation)
 		return 1;
-	if (agent->view_current && !agent->candidate_count)
-		return waited_ms >= NO_SUCCESSOR_MS;
+	if (agent->members_current && !agent->candidate_count)
+		return waited_ms >= NO_SUCCESSOR_TIMEOUT_MS;
 	return waited_ms >= DY_AGENT_STOP_MAX_MS;
 }
 
-static void hand_over(dy_agent_t *agent)
+static void run_handover_pass(dy_agent_t *agent)
 {
-	turn_t turn = { agent, g_ptr_array_new(), 0, 0 };
+	handover_pass_t pass = { agent, g_ptr_array_new(), 0, 0 };
 
-	dy_sessions_each(agent->sessions, count_outstanding, &turn);
-	dy_sessions_each(agent->sessions, visit_session, &turn);
-	send_due(agent, turn.due);
-	g_ptr_array_free(turn.due, TRUE);
-	if ((!turn.unsettled && agent->view_current &&
+	dy_sessions_each(agent->sessions, count_outstanding, &pass);
+	dy_sessions_each(agent->sessions, process_session, &pass);
+	send_due(agent, pass.due);
+	g_ptr_array_free(pass.due, TRUE);
+	if ((!pass.unfinished && agent->members_current &&
 	     !agent_successors_pending(agent)) ||
-	    has_waited_enough(agent))
-		finish_leaving(agent);
+	    is_stop_timeout_expired(agent))
+		finish_drain(agent);
 }
 
 /*
- * Balancers ask the successors only once control has recorded that this
- * agent has left; until then, and a while after, calls still come here.
+ * Balancers route to the successors only after control has recorded that this
+ * agent has left. Until then, and for DY_AGENT_LINGER_MS, calls still arrive
+ * here.
  */
-static int is_needed(const dy_agent_t *agent)
+static int is_relay_needed(const dy_agent_t *agent)
 {
 	uint64_t since_ms = agent_now_ms(agent) - agent->left_ms;
 
 	if (!dy_sessions_count(agent->sessions))
-		return agent->incarnation && !agent->left_recorded &&
-		       since_ms < RECORD_MS;
+		return agent->incarnation && !agent->left_committed &&
+		       since_ms < LEFT_COMMIT_TIMEOUT_MS;
 	if (since_ms < DY_AGENT_LINGER_MS)
 		return 1;
-	return !agent->left_recorded && since_ms < DY_AGENT_STOP_MAX_MS;
+	return !agent->left_committed && since_ms < DY_AGENT_STOP_MAX_MS;
 }
 
-void agent_leave_tick(dy_agent_t *agent)
+void agent_drain_tick(dy_agent_t *agent)
 {
 	if (agent->state == DY_MEMBER_DRAINING) {
-		if (agent->view_current && !agent->has_successors)
+		if (agent->members_current && !agent->has_successors)
 			agent_successors_tick(agent);
-		hand_over(agent);
+		run_handover_pass(agent);
 	}
-	if (agent->state == DY_MEMBER_LEFT && !is_needed(agent))
-		tell_left(agent);
+	if (agent->state == DY_MEMBER_LEFT && !is_relay_needed(agent))
+		report_left(agent);
 }
 
 static int relay_to(dy_agent_t *agent, const member_t *member,
@@ -335,13 +343,13 @@
 	if (!member || member->id == agent->id)
 		return -1;
 	if (forward->hops >= DY_AGENT_HOPS_MAX) {
-		agent_note(agent, EVENT_FORWARD_HOPS_EXCEEDED, "hops=%u",
-			   forward->hops);
+		agent_log_event(agent, EVENT_FORWARD_HOPS_EXCEEDED, "hops=%u",
+				forward->hops);
 		return 0;
 	}
 	copy.agent = member->id;
 	copy.incarnation = member->incarnation;
-	copy.reply_to = route->to;
+	copy.reply_to = route->balancer;
 	copy.hops = forward->hops + 1;
 	agent_count(agent, EVENT_FORWARD_RELAYED);
 	agent->config.callbacks->relay(agent->config.context, &member->address,
@@ -349,26 +357,27 @@
 	return 0;
 }
 
-int agent_leave_relay(dy_agent_t *agent, dy_session_t *session,
-		      const route_t *route, const dy_forward_t *forward)
+int agent_drain_relay_session(dy_agent_t *agent, dy_session_t *session,
+			      const route_t *route, const dy_forward_t *forward)
 {
 	if (session->state == DY_SESSION_LOST)
 		return -1;
-	return relay_to(agent,
-			agent_member_follow(agent, session->id,
-					    session->successor_incarnation),
-			route, forward);
-}
-
-int agent_leave_pass(dy_agent_t *agent, const dy_token_t *token,
-		     const route_t *route, const dy_forward_t *forward)
-{
 	return relay_to(
 		agent,
-		agent_member_follow(agent, token->session, token->incarnation),
+		agent_member_current_owner(agent, session->id,
+					   session->successor_incarnation),
 		route, forward);
 }
 
+int agent_drain_relay_token(dy_agent_t *agent, const dy_token_t *token,
+			    const route_t *route, const dy_forward_t *forward)
+{
+	return relay_to(agent,
+			agent_member_current_owner(agent, token->session,
+						   token->incarnation),
+			route, forward);
+}
+
 static dy_session_t *find_moved(const dy_agent_t *agent, uint64_t id,
 				const dy_handover_result_t *result)
 {
@@ -388,11 +397,11 @@
 	unsigned i;
 
 	if (result->status == DY_HANDOVER_STALE) {
-		agent_note(agent, EVENT_HANDOVER_STALE, "to=%016lx",
-			   (unsigned long)result->agent);
+		agent_log_event(agent, EVENT_HANDOVER_STALE, "to=%016lx",
+				(unsigned long)result->agent);
 		return;
 	}
-	agent_successors_answered(agent, result);
+	agent_successors_receive_result(agent, result);
 	for (i = 0; i < result->sessions.sessions_len; i++) {
 		session = find_moved(agent, result->sessions.sessions_val[i],
 				     result);
--- a/src/process/agent/agent_member.c
+++ b/src/process/agent/agent_member.c
@@ -9,7 +9,7 @@
 	return g_hash_table_lookup(agent->members, &id);
 }
 
-static member_t *take_member(dy_agent_t *agent, uint64_t id)
+static member_t *get_or_add_member(dy_agent_t *agent, uint64_t id)
 {
 	member_t *member = agent_member_find(agent, id);
 
@@ -21,7 +21,7 @@
 	return member;
 }
 
-static void keep_departed(dy_agent_t *agent, const dy_member_t *from)
+static void add_departed(dy_agent_t *agent, const dy_member_t *from)
 {
 	departed_t *departed = g_new0(departed_t, 1);
 
@@ -34,14 +34,14 @@
 	g_hash_table_replace(agent->departed, &departed->incarnation, departed);
 }
 
-static void take_own(dy_agent_t *agent, const dy_member_t *from)
+static void update_own_state(dy_agent_t *agent, const dy_member_t *from)
 {
 	if (from->incarnation != agent->incarnation)
 		return;
 	if (from->state == DY_MEMBER_DRAINING)
-		agent->drain_recorded = 1;
+		agent->drain_committed = 1;
 	if (from->state == DY_MEMBER_LEFT)
-		agent->left_recorded = 1;
+		agent->left_committed = 1;
 }
 
 void dy_agent_member(dy_agent_t *agent, const dy_member_t *from)
@@ -49,10 +49,10 @@
 	member_t *member;
 
 	if (from->state == DY_MEMBER_LEFT)
-		keep_departed(agent, from);
+		add_departed(agent, from);
 	if (from->id == agent->id)
-		take_own(agent, from);
-	member = take_member(agent, from->id);
+		update_own_state(agent, from);
+	member = get_or_add_member(agent, from->id);
 	if (from->incarnation < member->incarnation)
 		return;
 	member->incarnation = from->incarnation;
@@ -67,11 +67,11 @@
 }
 
 /*
- * An incarnation is the index of its joining in control's log: a newer one
- * under the same name is proof that the older one has ended or been replaced.
+ * An incarnation is the log index at which it joined. A newer incarnation of
+ * the same name proves that the older one has ended or was replaced.
  */
-owner_fate_t agent_member_fate(const dy_agent_t *agent, uint64_t id,
-			       uint64_t incarnation)
+owner_status_t agent_member_owner_status(const dy_agent_t *agent, uint64_t id,
+					 uint64_t incarnation)
 {
 	const member_t *member = agent_member_find(agent, id);
 
@@ -80,15 +80,15 @@
 	if (id == agent->id && incarnation < agent->incarnation)
 		return OWNER_DEAD;
 	if (!member || member->incarnation < incarnation)
-		return OWNER_MAY_LIVE;
+		return OWNER_MAYBE_ALIVE;
 	if (member->incarnation > incarnation ||
 	    member->state == DY_MEMBER_DEAD)
 		return OWNER_DEAD;
-	return OWNER_MAY_LIVE;
+	return OWNER_MAYBE_ALIVE;
 }
 
-/* Agents that one session has been handed over in turn, at most. */
-#define FOLLOW_MAX 8
+/* Maximum number of successive handovers of a session to follow. */
+#define SUCCESSOR_CHAIN_MAX 8
 
 static const member_t *find_incarnation(const dy_agent_t *agent,
 					uint64_t incarnation)
@@ -107,19 +107,19 @@
 }
 
 /*
- * Successors are recorded as incarnations. Guards against a name that is in
- * use again: agents are started anew one after another, and a flow that was
- * silent all the while would be looked for at the next life of an agent that
- * has long handed it on.
+ * Successors are recorded as incarnations, not as member ids. Guards against a
+ * reused name: in a rolling restart, an idle flow would be looked up at the
+ * next incarnation of an agent that has already handed the flow over.
  */
-const member_t *agent_member_follow(const dy_agent_t *agent, uint64_t session,
-				    uint64_t incarnation)
+const member_t *agent_member_current_owner(const dy_agent_t *agent,
+					   uint64_t session,
+					   uint64_t incarnation)
 {
 	const departed_t *departed;
 	const member_t *member;
 	unsigned i;
 
-	for (i = 0; i < FOLLOW_MAX; i++) {
+	for (i = 0; i < SUCCESSOR_CHAIN_MAX; i++) {
 		departed = g_hash_table_lookup(agent->departed, &incarnation);
 		if (!departed)
 			break;
@@ -132,8 +132,8 @@
 	return member;
 }
 
-unsigned agent_member_successors(const dy_agent_t *agent,
-				 uint64_t chosen[DY_SUCCESSORS_MAX])
+unsigned agent_member_choose_successors(const dy_agent_t *agent,
+					uint64_t chosen[DY_SUCCESSORS_MAX])
 {
 	uint64_t *candidates;
 	GHashTableIter iter;
--- a/src/process/agent/agent_private.h
+++ b/src/process/agent/agent_private.h
@@ -1,7 +1,7 @@
 #ifndef DAMASKYARD_AGENT_PRIVATE_H
 #define DAMASKYARD_AGENT_PRIVATE_H
 
-/* The parts of the agent's core, one file each. */
+/* Internal interfaces of the agent's core, grouped by source file. */
 
 #include "damaskyard/admission.h"
 #include "damaskyard/agent.h"
@@ -11,13 +11,19 @@
 #include "damaskyard/session.h"
 #include "damaskyard/verdict.h"
 
-/* Calls in progress of one session, at most; an ordinary client makes one. */
+/*
+ * Maximum number of calls in progress of one session. An ordinary RPC client
+ * makes one call at a time.
+ */
 #define SESSION_CALLS_MAX 64
 
-/* For a refusal whose end cannot be told: a target's announcement, in ms. */
-#define RETRY_MS 1000
+/*
+ * Retry delay sent with a refusal of unknown duration, in ms: the announcement
+ * interval of a target.
+ */
+#define RETRY_AFTER_MS 1000
 
-/* Each has a counter, and a log line unless its level is DEBUG. */
+/* Each event has a counter, and a log line unless its level is DEBUG. */
 typedef enum agent_event {
 	EVENT_CALLS_ANSWERED,
 	EVENT_CALLS_NOT_RUN,
@@ -75,17 +81,17 @@
 	AGENT_EVENTS
 } agent_event_t;
 
-/* Where the answer to a call goes. */
+/* The destination of the answer to a call. */
 typedef struct route {
-	dy_address_t to; /* the balancer */
+	dy_address_t balancer;
 	dy_address_t caller;
 	uint64_t socket;
-	uint64_t session; /* of the current token that the caller holds; or 0 */
+	uint64_t session; /* of the caller's token if that is current, or 0 */
 } route_t;
 
 typedef struct call {
 	dy_admission_item_t admission;
-	dy_list_t link; /* in its session */
+	dy_list_t session_link; /* in the calls of its session */
 	dy_session_t *session;
 	route_t route;
 	uint32_t xid; /* the caller's */
@@ -93,7 +99,7 @@
 	uint32_t procedure;
 	int idempotent;
 	dy_call_stage_t stage;
-	unsigned on_link; /* once sent, or being sent */
+	unsigned link_index; /* valid if has_link */
 	int has_link;
 	uint64_t deadline_us;
 	uint8_t *args;
@@ -103,7 +109,7 @@
 typedef enum link_state {
 	LINK_CLOSED,
 	LINK_OPENING,
-	LINK_PROBING, /* connected; the target has not answered NULL yet */
+	LINK_PROBING, /* connected; the NULL call is not answered yet */
 	LINK_UP
 } link_state_t;
 
@@ -111,34 +117,35 @@
 	link_state_t state;
 	call_t *call;
 	uint32_t probe_xid;
-	uint64_t probed_ms;
+	uint64_t probe_sent_ms;
 	uint64_t retry_at_ms;
 	uint32_t attempts;
 } target_link_t;
 
-/* A cancellation on its way to the target. */
+/* A cancellation that is queued for the target or sent to it. */
 typedef struct cancel {
 	uint64_t session;
-	uint32_t xid; /* of the call that is meant */
+	uint32_t xid; /* of the call to cancel */
 	uint32_t target_xid;
-	uint64_t sent_ms; /* 0: waits for its turn */
-	uint64_t made_ms;
-	int wants_reply;
+	uint64_t sent_ms; /* 0 while queued */
+	uint64_t created_ms;
+	int needs_reply;
 	uint32_t reply_xid;
 	route_t route;
 } cancel_t;
 
-/* What control says of a member. */
+/* A member, as last reported by control. */
 typedef struct member {
 	uint64_t id;
 	uint64_t incarnation;
 	dy_member_state_t state;
 	dy_address_t address;
-	char service[DY_NAME_BYTES + 1]; /* of agents of this environment */
+	char service[DY_NAME_BYTES + 1]; /* empty unless an agent of this
+					    environment */
 	uint32_t slots;
 } member_t;
 
-/* An incarnation that has left, and to whom. */
+/* An incarnation that has left, with the incarnations of its successors. */
 typedef struct departed {
 	uint64_t incarnation;
 	uint64_t successors[DY_SUCCESSORS_MAX];
@@ -156,9 +163,9 @@
 	int cold;
 	int takes_cancel;
 	uint64_t announced_ms;
-	int healthy;
-	uint64_t silent_ms; /* since when it answers nothing; 0: it does */
-	int away;	    /* control was told so */
+	int lease_valid;
+	uint64_t unresponsive_since_ms; /* 0 while it answers */
+	int unresponsive;		/* as reported to control */
 } agent_target_t;
 
 typedef struct agent_service {
@@ -177,11 +184,11 @@
 	uint32_t session_idle_s;
 } agent_service_t;
 
-/* An agent that was asked whether it would be a successor. */
+/* An agent that was sent an offer to become a successor. */
 typedef struct candidate {
 	uint64_t id;
 	uint64_t incarnation;
-	uint64_t asked_ms;
+	uint64_t offer_sent_ms;
 	int answered;
 } candidate_t;
 
@@ -191,40 +198,40 @@
 	uint64_t incarnation;
 	dy_member_state_t state;
 	int lease_held;
-	int evacuated; /* its failure domain is */
+	int evacuated; /* the failure domain of this agent is evacuated */
 	int superseded;
 	agent_service_t service;
 	agent_target_t target;
-	GHashTable *members;  /* id: member_t */
-	GHashTable *departed; /* incarnation: departed_t */
+	GHashTable *members;  /* member_t by id */
+	GHashTable *departed; /* departed_t by incarnation */
 
 	GRand *rand;
 	dy_sessions_t *sessions;
 	dy_admission_t *admission;
-	dy_session_rate_limit_t crowd;
+	dy_session_rate_limit_t session_rate_limit;
 	dy_burn_t *burn;
 	uint64_t burn_published_ms;
-	unsigned crowd_slots; /* for which it was made */
+	unsigned rate_limit_slots; /* slots that session_rate_limit is for */
 	target_link_t links[DY_AGENT_LINKS];
-	unsigned slots; /* connections wanted */
-	unsigned up;	/* that stand */
+	unsigned slots;	   /* connections to maintain */
+	unsigned links_up; /* connections in LINK_UP, without the cancel link */
 	uint32_t next_xid;
-	GQueue claimed; /* of call_t that have a slot and no connection yet */
-	GQueue cancels; /* of cancel_t, oldest first */
+	GQueue awaiting_link; /* call_t with a slot but without a connection */
+	GQueue cancels;	      /* cancel_t, oldest first */
 
-	int ends;
-	uint64_t ends_ms;
-	int drain_recorded; /* control has taken up that this agent drains */
-	int view_current;   /* and all that it took up before is known here */
+	int exit_after_drain; /* the process exits once this agent has left */
+	uint64_t exit_requested_ms;
+	int drain_committed; /* the drain is in control's log */
+	int members_current; /* all log entries before the drain are known */
 	candidate_t candidates[DY_SUCCESSORS_MAX];
 	unsigned candidate_count;
-	uint64_t offered_ms;
+	uint64_t offers_started_ms;
 	int has_successors;
 	uint64_t successors[DY_SUCCESSORS_MAX]; /* incarnations */
 	unsigned successor_count;
 	uint64_t left_ms;
-	int left_recorded;
-	int left_told;
+	int left_committed; /* control has recorded that this agent left */
+	int left_reported;  /* the callback left() was called */
 
 	uint64_t *counters[AGENT_EVENTS];
 	dy_log_limit_t limits[AGENT_EVENTS];
@@ -236,94 +243,118 @@
 uint64_t agent_now_us(const dy_agent_t *agent);
 uint64_t agent_now_ms(const dy_agent_t *agent);
 
-/* Take up a change of the target's or the document's limits. */
+/* Apply changed limits of the target or the service. */
 void agent_apply_limits(dy_agent_t *agent);
 
-/* agent_event.c: count an event; note() writes a limited log line as well. */
+/* agent_event.c */
 void agent_event_init(dy_agent_t *agent);
+/* Count an event. */
 void agent_count(dy_agent_t *agent, agent_event_t event);
-void agent_note(dy_agent_t *agent, agent_event_t event, const char *pairs, ...)
-	__attribute__((format(printf, 3, 4)));
-/* Count what a caller got, for the service-level report. */
+/* Count an event and write a rate-limited log line with these pairs. */
+void agent_log_event(dy_agent_t *agent, agent_event_t event, const char *pairs,
+		     ...) __attribute__((format(printf, 3, 4)));
+/* Count the outcome of a call for the service level objective. */
 void agent_count_outcome(dy_agent_t *agent, dy_outcome_t outcome);
 void agent_count_refusal(dy_agent_t *agent, dy_verdict_t verdict);
 
-/* agent_answer.c: what goes back to a balancer. */
+/* agent_answer.c: messages to a balancer. */
 void agent_answer_refusal(dy_agent_t *agent, const route_t *route, uint32_t xid,
 			  const dy_refusal_t *refusal);
 void agent_answer_too_weak(dy_agent_t *agent, const route_t *route,
 			   uint32_t xid);
-/* Returns 0, or -1 if the answer is too large to send; nothing is then. */
+/* Returns 0, or -1 if the answer is too large; nothing is sent then. */
 int agent_answer(dy_agent_t *agent, dy_session_t *session, const route_t *route,
 		 uint32_t xid, uint32_t status, const uint8_t *results,
 		 size_t len);
 void agent_bounce(dy_agent_t *agent, const route_t *route,
 		  const dy_forward_t *forward, dy_reason_t reason);
 
-/* agent_call.c: the life of a call. */
+/* agent_call.c: a call from admission to its outcome. */
+/* Returns the call in progress with this xid, or NULL. */
 call_t *agent_call_find(const dy_session_t *session, uint32_t xid);
 void agent_call_admit(dy_agent_t *agent, dy_session_t *session,
 		      const route_t *route, const dy_rpc_call_t *message,
 		      int idempotent);
-/* Apply an event; ends the call if that gives it its outcome. */
+/* Apply an event to a call. Ends the call if the event decides its outcome. */
 dy_decision_t agent_call_event(dy_agent_t *agent, call_t *call,
 			       dy_call_event_t event, uint32_t retry_ms);
-void agent_call_pass(dy_agent_t *agent, call_t *call,
-		     const dy_rpc_reply_t *reply);
-/* Start what may start, refuse what waits in vain. */
-void agent_call_pump(dy_agent_t *agent);
-void agent_call_expire_started(dy_agent_t *agent);
-/* End every call that has not been handed to the target. */
-void agent_call_stop_unsent(dy_agent_t *agent, dy_call_event_t event);
+/* End a call with the target's reply as the answer. */
+void agent_call_complete(dy_agent_t *agent, call_t *call,
+			 const dy_rpc_reply_t *reply);
+/*
+ * Refuse the queued calls that have waited too long. Then start calls while
+ * slots and connections are free.
+ */
+void agent_call_dispatch(dy_agent_t *agent);
+/* End the calls with a slot whose deadline has passed. */
+void agent_call_expire_admitted(dy_agent_t *agent);
+/* End every call that was not sent to the target. */
+void agent_call_refuse_unsent(dy_agent_t *agent, dy_call_event_t event);
+/* Free all calls without an answer. */
 void agent_call_drop_all(dy_agent_t *agent);
 
 /* agent_target.c: the target and the connections to it. */
-int agent_target_ready(const dy_agent_t *agent);
-/* And has answered on a connection that stands: it may get new work. */
-int agent_target_answers(const dy_agent_t *agent);
+/* Whether its service is known and its lease is valid. */
+int agent_target_is_ready(const dy_agent_t *agent);
+/* Whether it is ready and a connection to it is up, so that it gets calls. */
+int agent_target_is_responsive(const dy_agent_t *agent);
 void agent_target_set_slots(dy_agent_t *agent);
 void agent_link_close(dy_agent_t *agent, unsigned index);
 void agent_target_tick(dy_agent_t *agent);
 
-/* agent_cancel.c */
-void agent_cancel_call(dy_agent_t *agent, dy_session_t *session,
-		       const route_t *route, const dy_rpc_call_t *message);
-void agent_cancel_tell_target(dy_agent_t *agent, const call_t *call);
-void agent_cancel_receive(dy_agent_t *agent, const uint8_t *bytes, size_t len);
+/* agent_cancel.c: cancellations, by a caller or after a deadline. */
+void agent_cancel_receive_call(dy_agent_t *agent, dy_session_t *session,
+			       const route_t *route,
+			       const dy_rpc_call_t *message);
+void agent_cancel_notify_target(dy_agent_t *agent, const call_t *call);
+void agent_cancel_receive_reply(dy_agent_t *agent, const uint8_t *bytes,
+				size_t len);
 void agent_cancel_fail_all(dy_agent_t *agent);
 void agent_cancel_drop_all(dy_agent_t *agent);
 void agent_cancel_tick(dy_agent_t *agent);
 
-/* agent_member.c: what control says of other agents. */
-typedef enum owner_fate { OWNER_MAY_LIVE, OWNER_LEFT, OWNER_DEAD } owner_fate_t;
+/* agent_member.c: the members, as reported by control. */
+typedef enum owner_status {
+	OWNER_MAYBE_ALIVE,
+	OWNER_LEFT,
+	OWNER_DEAD
+} owner_status_t;
 member_t *agent_member_find(const dy_agent_t *agent, uint64_t id);
-owner_fate_t agent_member_fate(const dy_agent_t *agent, uint64_t id,
-			       uint64_t incarnation);
+owner_status_t agent_member_owner_status(const dy_agent_t *agent, uint64_t id,
+					 uint64_t incarnation);
 
 /*
- * Follow a session from the agent that it was handed to, over those that have
- * left since. Returns the member that should have it now, or NULL.
+ * Follow the successors of a session, from the given incarnation over those
+ * that have left. Returns the member that owns the session now, or NULL.
+ */
+const member_t *agent_member_current_owner(const dy_agent_t *agent,
+					   uint64_t session,
+					   uint64_t incarnation);
+/*
+ * Write the ids of the agents that can receive this agent's sessions to
+ * chosen. Returns their number.
  */
-const member_t *agent_member_follow(const dy_agent_t *agent, uint64_t session,
-				    uint64_t incarnation);
-/* The agents that may take this one's sessions. Returns their number. */
-unsigned agent_member_successors(const dy_agent_t *agent,
-				 uint64_t chosen[DY_SUCCESSORS_MAX]);
+unsigned agent_member_choose_successors(const dy_agent_t *agent,
+					uint64_t chosen[DY_SUCCESSORS_MAX]);
 
-/* agent_successors.c: until agent->has_successors is set. */
+/* agent_successors.c: offers to successors, until has_successors is set. */
 void agent_successors_tick(dy_agent_t *agent);
-void agent_successors_answered(dy_agent_t *agent,
-			       const dy_handover_result_t *result);
+void agent_successors_receive_result(dy_agent_t *agent,
+				     const dy_handover_result_t *result);
 int agent_successors_pending(const dy_agent_t *agent);
 
-/* agent_leave.c */
-void agent_leave_tick(dy_agent_t *agent);
-/* Pass a call of a moved session on. Returns 0, or -1 if nobody has it. */
-int agent_leave_relay(dy_agent_t *agent, dy_session_t *session,
-		      const route_t *route, const dy_forward_t *forward);
+/* agent_leave.c: the drain and the relay of calls to successors. */
+void agent_drain_tick(dy_agent_t *agent);
+/*
+ * Relay a call of a moved session to its owner. Returns 0, also if the call
+ * was dropped because of too many hops, or -1 if the session has no owner.
+ */
+int agent_drain_relay_session(dy_agent_t *agent, dy_session_t *session,
+			      const route_t *route,
+			      const dy_forward_t *forward);
 
-/* The same for a call whose token names an agent that has left. */
-int agent_leave_pass(dy_agent_t *agent, const dy_token_t *token,
-		     const route_t *route, const dy_forward_t *forward);
+/* The same for a call whose token names an incarnation that has left. */
+int agent_drain_relay_token(dy_agent_t *agent, const dy_token_t *token,
+			    const route_t *route, const dy_forward_t *forward);
 
 #endif
--- a/src/process/agent/agent_process.c
+++ b/src/process/agent/agent_process.c
@@ -15,19 +15,20 @@
 #include "record_link.h"
 
 /*
- * An agent that no majority has confirmed for this long opens no sessions,
- * in ms: longer than an election of a new leader, with its clients finding
- * it, so that a restart of one control is not felt.
+ * Duration of the lease that a confirmation by a majority of control gives, in
+ * ms. An agent without a lease opens no sessions. Longer than the election of
+ * a new leader and the time for members to find it, so that the restart of one
+ * control has no effect.
  */
-#define LEASE_MS 10000
+#define CONTROL_LEASE_MS 10000
 
-/* What an agent that was superseded needs to finish what its target has. */
-#define SUPERSEDED_MS 10000
+/* Time for a superseded agent to finish the calls of its target, in ms. */
+#define SUPERSEDED_EXIT_DELAY_MS 10000
 
-/* Bytes of the largest message: one session of the largest size. */
-#define MESSAGE_BYTES 65000
+/* Size of the largest message: a handover of one session of maximum size. */
+#define MESSAGE_MAX_BYTES 65000
 
-/* The process around the agent's core: sockets, loop and codec. */
+/* The agent process: the core with its sockets, its loop and control. */
 typedef struct agent_process {
 	const dy_agent_settings_t *settings;
 	dy_secrets_t secrets;
@@ -43,15 +44,15 @@
 	dy_document_t *document;
 	char service[DY_NAME_BYTES + 1];
 	char labels[DY_LABELS_BYTES + 1];
-	int ends;	 /* once it has left, the process does */
-	int has_left;	 /* create a new core at the next tick */
-	int must_rejoin; /* control knows of the last core's end */
+	int exit_after_drain; /* exit once the agent has left */
+	int has_left;	      /* else create a new core at the next tick */
+	int must_rejoin;      /* control has recorded the old core's end */
 	uint64_t superseded_ms;
 	int exit_code;
 	uint64_t *truncated;
 	uint64_t *unknown;
 	uint64_t *announce_refused;
-	uint8_t out[MESSAGE_BYTES];
+	uint8_t out[MESSAGE_MAX_BYTES];
 } agent_process_t;
 
 static void send_message(agent_process_t *process, uint32_t program,
@@ -130,7 +131,7 @@
 {
 	agent_process_t *process = context;
 
-	/* Control knows of the last core's end, and of no newer one yet. */
+	/* The old core has left and the new one has not joined control yet. */
 	if (process->must_rejoin)
 		return;
 	dy_subscriber_set_state(process->subscriber, state, successors, count);
@@ -162,7 +163,7 @@
 {
 	agent_process_t *process = context;
 
-	if (process->ends)
+	if (process->exit_after_drain)
 		dy_loop_end(process->loop);
 	process->has_left = 1;
 }
@@ -253,7 +254,7 @@
 {
 	agent_process_t *process = context;
 
-	process->ends = 1;
+	process->exit_after_drain = 1;
 	dy_agent_leave(process->agent, "operator", 0);
 }
 
@@ -291,10 +292,10 @@
 			    const dy_sealed_t *message,
 			    const dy_address_t *from)
 {
-	static char room[DY_DATAGRAM_BYTES];
+	static char datagram[DY_DATAGRAM_BYTES];
 	dy_forward_t forward = { 0 };
 
-	forward.datagram.datagram_val = room;
+	forward.datagram.datagram_val = datagram;
 	if (!dy_sealed_fill(message, (xdrproc_t)xdr_dy_forward_t, &forward)) {
 		++*process->unknown;
 		return;
@@ -302,8 +303,9 @@
 	dy_agent_forward(process->agent, from, &forward);
 }
 
-static void receive_move(agent_process_t *process, const dy_sealed_t *message,
-			 const dy_address_t *from)
+static void receive_handover(agent_process_t *process,
+			     const dy_sealed_t *message,
+			     const dy_address_t *from)
 {
 	dy_handover_result_t result;
 	dy_handover_t handover;
@@ -320,7 +322,8 @@
 	xdr_free((xdrproc_t)xdr_dy_handover_t, (char *)&handover);
 }
 
-static void receive_taken(agent_process_t *process, const dy_sealed_t *message)
+static void receive_handover_result(agent_process_t *process,
+				    const dy_sealed_t *message)
 {
 	dy_handover_result_t result;
 
@@ -352,10 +355,10 @@
 		receive_forward(process, message, from);
 	else if (message->program == DY_HANDOVER_PROGRAM &&
 		 message->procedure == DY_HANDOVER_MOVE)
-		receive_move(process, message, from);
+		receive_handover(process, message, from);
 	else if (message->program == DY_HANDOVER_PROGRAM &&
 		 message->procedure == DY_HANDOVER_TAKEN)
-		receive_taken(process, message);
+		receive_handover_result(process, message);
 	else if (message->program == DY_STATUS_PROGRAM)
 		answer_status(process, message, from);
 	else
@@ -380,9 +383,9 @@
 		receive_call(process, &message, &address);
 }
 
-/* Announcements carry no credential, so that they come from here only. */
-static int is_own_machine(const agent_process_t *process,
-			  const dy_address_t *from)
+/* Announcements carry no credential: only local senders are accepted. */
+static int is_local_sender(const agent_process_t *process,
+			   const dy_address_t *from)
 {
 	static const uint8_t mapped_loopback[13] = { 0, 0, 0, 0,    0,	  0,  0,
 						     0, 0, 0, 0xff, 0xff, 127 };
@@ -426,7 +429,7 @@
 	uint8_t body[16];
 
 	dy_address_load(&address, from);
-	if (truncated || !is_own_machine(process, &address) ||
+	if (truncated || !is_local_sender(process, &address) ||
 	    dy_rpc_parse_call(bytes, len, &call) ||
 	    call.program != DY_ANNOUNCE_PROGRAM ||
 	    call.program_version != DY_ANNOUNCE_V1) {
@@ -447,7 +450,7 @@
 {
 	agent_process_t *process = context;
 
-	process->ends = 1;
+	process->exit_after_drain = 1;
 	dy_agent_leave(process->agent, "signal", 1);
 }
 
@@ -516,11 +519,11 @@
 }
 
 /*
- * The target has left, or was lost, and its sessions are handed over; its
- * next life, or another target, may bind this agent. That is a new core and
- * a new incarnation: nothing of the last one's may be taken for its own.
+ * The target has left or was lost, and its sessions are handed over. Its next
+ * incarnation, or another target, may bind this agent. The new core gets a new
+ * incarnation, so that no state of the old one is mistaken for its own.
  */
-static void begin_anew(agent_process_t *process)
+static void restart_agent(agent_process_t *process)
 {
 	destroy_agent(process);
 	create_agent(process);
@@ -536,14 +539,14 @@
 
 	dy_agent_set_lease(process->agent,
 			   dy_subscriber_age_ms(process->subscriber) <
-				   LEASE_MS);
+				   CONTROL_LEASE_MS);
 	record_links_tick(process->links);
 	dy_agent_tick(process->agent);
-	if (process->has_left && !process->ends)
-		begin_anew(process);
+	if (process->has_left && !process->exit_after_drain)
+		restart_agent(process);
 	if (process->superseded_ms &&
 	    dy_loop_now_ms(process->loop) - process->superseded_ms >=
-		    SUPERSEDED_MS)
+		    SUPERSEDED_EXIT_DELAY_MS)
 		dy_loop_end(process->loop);
 }
 
--- a/src/process/agent/agent_process.h
+++ b/src/process/agent/agent_process.h
@@ -2,8 +2,8 @@
 #define DAMASKYARD_AGENT_PROCESS_H
 
 /*
- * The agent process: sockets, loop and codec around the core of
- * include/damaskyard/agent.h, and the subscription to control.
+ * The agent process: the core of include/damaskyard/agent.h with its sockets,
+ * event loop, message codec and subscription to control.
  */
 
 #include <glib.h>
@@ -16,8 +16,9 @@
 } dy_agent_settings_t;
 
 /*
- * Run until stopped by a signal or an operator's drain. Returns TRUE with
- * the process's exit code, or FALSE with error set if it cannot start.
+ * Run until a signal or an operator's drain stops the process. Returns TRUE and
+ * writes the exit code to *exit_code, or returns FALSE and sets error if the
+ * process cannot start. settings must stay valid during the call.
  */
 gboolean dy_agent_process_run(const dy_agent_settings_t *settings,
 			      int *exit_code, GError **error);
--- a/src/process/agent/agent_receive.c
+++ b/src/process/agent/agent_receive.c
@@ -4,8 +4,8 @@
 
 #include <rpc/xdr.h>
 
-/* Final: an incarnation that has left, or was replaced, never serves again. */
-static int takes_no_more(const dy_agent_t *agent)
+/* Permanent: an incarnation that has left or was superseded never serves. */
+static int is_closed_to_handover(const dy_agent_t *agent)
 {
 	return agent->state == DY_MEMBER_LEFT || agent->superseded;
 }
@@ -26,24 +26,24 @@
 	if (session)
 		agent_count(agent, EVENT_SESSIONS_RECEIVED);
 	else
-		agent_note(agent, EVENT_HANDOVER_MALFORMED, "session=%016lx",
-			   (unsigned long)moved->id);
+		agent_log_event(agent, EVENT_HANDOVER_MALFORMED,
+				"session=%016lx", (unsigned long)moved->id);
 	return session;
 }
 
 /*
- * A session that is known here was taken before, whatever became of it
- * since: taking it again would bring back an older account of its calls.
+ * A session that is known here was accepted before. To accept it again would
+ * replace its duplicate request cache by an older one.
  */
-static void take_session(dy_agent_t *agent, const dy_moved_session_t *moved,
-			 dy_handover_result_t *result)
+static void accept_session(dy_agent_t *agent, const dy_moved_session_t *moved,
+			   dy_handover_result_t *result)
 {
 	uint64_t *refused = result->refused.refused_val;
 	uint64_t *sessions = result->sessions.sessions_val;
 
 	int known = !!dy_sessions_find(agent->sessions, moved->id);
 
-	if (!known && takes_no_more(agent))
+	if (!known && is_closed_to_handover(agent))
 		refused[result->refused.refused_len++] = moved->id;
 	else if (known || receive_session(agent, moved))
 		sessions[result->sessions.sessions_len++] = moved->id;
@@ -61,16 +61,16 @@
 	if (handover->to_agent != agent->id ||
 	    handover->to_incarnation != agent->incarnation ||
 	    !agent->service.known || handover->service != agent->service.id) {
-		agent_note(agent, EVENT_HANDOVER_STALE, "from=%016lx",
-			   (unsigned long)handover->agent);
+		agent_log_event(agent, EVENT_HANDOVER_STALE, "from=%016lx",
+				(unsigned long)handover->agent);
 		result->status = DY_HANDOVER_STALE;
 		return;
 	}
-	if (takes_no_more(agent))
+	if (is_closed_to_handover(agent))
 		result->status = DY_HANDOVER_LEFT;
 	result->sessions.sessions_val = g_new0(uint64_t, count + 1);
 	result->refused.refused_val = g_new0(uint64_t, count + 1);
 	for (i = 0; i < count; i++)
-		take_session(agent, &handover->sessions.sessions_val[i],
-			     result);
+		accept_session(agent, &handover->sessions.sessions_val[i],
+			       result);
 }
--- a/src/process/agent/agent_successors.c
+++ b/src/process/agent/agent_successors.c
@@ -1,29 +1,32 @@
 #include "agent_private.h"
 
 /*
- * Choosing successors. Control's word that an agent serves is as old as its
- * lease: one that was killed a moment ago still stands there. A session that
- * is sent to it is lost, since nobody can tell whether it was taken. So each
- * candidate is first asked by a message without sessions, and only those that
- * answer are chosen.
+ * The choice of successors. Control reports an agent as serving until its lease
+ * expires, even if it was killed a moment ago. A session sent to such an agent
+ * would be lost, because it is unknown whether the agent accepted it. So each
+ * candidate first gets an offer, a handover message without sessions, and only
+ * those that reply are chosen.
  */
 
-/* The offer is sent again after this, in ms. */
-#define OFFER_AGAIN_MS 250
+/* Interval between two offers to a candidate that has not replied, in ms. */
+#define OFFER_RETRY_INTERVAL_MS 250
 
-/* With one answer at least, the others are waited for as long, in ms. */
-#define OFFER_MS 600
+/*
+ * Time after the first offer at which the candidates that have replied are
+ * chosen, in ms. They are chosen earlier if all have replied.
+ */
+#define OFFER_TIMEOUT_MS 600
 
-/* Without any, other candidates may have come by then, in ms. */
-#define OFFER_ANEW_MS 2000
+/* Interval at which candidates are listed anew if none has replied, in ms. */
+#define OFFER_RESTART_INTERVAL_MS 2000
 
-static void begin_offer(dy_agent_t *agent)
+static void start_offers(dy_agent_t *agent)
 {
 	uint64_t ids[DY_SUCCESSORS_MAX];
-	unsigned count = agent_member_successors(agent, ids);
+	unsigned count = agent_member_choose_successors(agent, ids);
 	unsigned i;
 
-	agent->offered_ms = agent_now_ms(agent);
+	agent->offers_started_ms = agent_now_ms(agent);
 	agent->candidate_count = count;
 	for (i = 0; i < count; i++) {
 		candidate_t *candidate = &agent->candidates[i];
@@ -31,20 +34,20 @@
 		candidate->id = ids[i];
 		candidate->incarnation =
 			agent_member_find(agent, ids[i])->incarnation;
-		candidate->asked_ms = 0;
+		candidate->offer_sent_ms = 0;
 		candidate->answered = 0;
 	}
 	if (!count && dy_sessions_count(agent->sessions))
-		agent_note(agent, EVENT_NO_SUCCESSOR, "sessions=%u",
-			   dy_sessions_count(agent->sessions));
+		agent_log_event(agent, EVENT_NO_SUCCESSOR, "sessions=%u",
+				dy_sessions_count(agent->sessions));
 }
 
-static void ask(dy_agent_t *agent, candidate_t *candidate)
+static void send_offer(dy_agent_t *agent, candidate_t *candidate)
 {
 	const member_t *member = agent_member_find(agent, candidate->id);
 	dy_handover_t handover = { 0 };
 
-	candidate->asked_ms = agent_now_ms(agent);
+	candidate->offer_sent_ms = agent_now_ms(agent);
 	handover.format = DY_HANDOVER_FORMAT;
 	handover.service = agent->service.id;
 	handover.agent = agent->id;
@@ -55,7 +58,7 @@
 					  &member->address, &handover);
 }
 
-static unsigned ask_again(dy_agent_t *agent)
+static unsigned send_pending_offers(dy_agent_t *agent)
 {
 	uint64_t now_ms = agent_now_ms(agent);
 	candidate_t *candidate;
@@ -65,14 +68,14 @@
 	for (i = 0; i < agent->candidate_count; i++) {
 		candidate = &agent->candidates[i];
 		answered += !!candidate->answered;
-		if (!candidate->answered &&
-		    now_ms - candidate->asked_ms >= OFFER_AGAIN_MS)
-			ask(agent, candidate);
+		if (!candidate->answered && now_ms - candidate->offer_sent_ms >=
+						    OFFER_RETRY_INTERVAL_MS)
+			send_offer(agent, candidate);
 	}
 	return answered;
 }
 
-static void choose_answered(dy_agent_t *agent)
+static void choose_responders(dy_agent_t *agent)
 {
 	unsigned i;
 
@@ -81,28 +84,29 @@
 			agent->successors[agent->successor_count++] =
 				agent->candidates[i].incarnation;
 	agent->has_successors = 1;
-	agent_note(agent, EVENT_SUCCESSORS_CHOSEN,
-		   "count=%u candidates=%u sessions=%u", agent->successor_count,
-		   agent->candidate_count, dy_sessions_count(agent->sessions));
+	agent_log_event(agent, EVENT_SUCCESSORS_CHOSEN,
+			"count=%u candidates=%u sessions=%u",
+			agent->successor_count, agent->candidate_count,
+			dy_sessions_count(agent->sessions));
 }
 
 void agent_successors_tick(dy_agent_t *agent)
 {
-	uint64_t since_ms = agent_now_ms(agent) - agent->offered_ms;
+	uint64_t since_ms = agent_now_ms(agent) - agent->offers_started_ms;
 	unsigned answered;
 
-	if (!agent->candidate_count || since_ms >= OFFER_ANEW_MS) {
-		begin_offer(agent);
+	if (!agent->candidate_count || since_ms >= OFFER_RESTART_INTERVAL_MS) {
+		start_offers(agent);
 		since_ms = 0;
 	}
-	answered = ask_again(agent);
-	if (answered &&
-	    (answered == agent->candidate_count || since_ms >= OFFER_MS))
-		choose_answered(agent);
+	answered = send_pending_offers(agent);
+	if (answered && (answered == agent->candidate_count ||
+			 since_ms >= OFFER_TIMEOUT_MS))
+		choose_responders(agent);
 }
 
-void agent_successors_answered(dy_agent_t *agent,
-			       const dy_handover_result_t *result)
+void agent_successors_receive_result(dy_agent_t *agent,
+				     const dy_handover_result_t *result)
 {
 	candidate_t *candidate;
 	unsigned i;
--- a/src/process/agent/agent_target.c
+++ b/src/process/agent/agent_target.c
@@ -4,36 +4,37 @@
 
 #include <rpc/rpc.h>
 
-/* Between two tries to connect, in ms, growing. */
-#define CONNECT_MIN_MS 50
-#define CONNECT_MAX_MS 1000
+/* Bounds of the exponential backoff between two connects, in ms. */
+#define CONNECT_BACKOFF_MIN_MS 50
+#define CONNECT_BACKOFF_MAX_MS 1000
 
 /*
- * A connection whose NULL call is not answered by then is closed, in ms. A
- * NULL call takes a target well below a millisecond, also under load, since
- * each connection has its turn.
+ * Timeout of the NULL call that probes a new connection, in ms. A target
+ * answers NULL well within a millisecond, also under load, because it serves
+ * its connections in turn.
  */
 #define PROBE_TIMEOUT_MS 500
 
 /*
- * A target that answers nothing for this long, in ms, is away: control is
- * told, and what waits for it is refused. A target that is started anew, or
- * whose connections were closed, answers well before.
+ * Time without a responsive connection after which the target counts as
+ * unresponsive, in ms. This is reported to control, and waiting calls are
+ * refused. A target that restarts, or whose connections were closed, responds
+ * well within this time.
  */
-#define AWAY_MS 1000
+#define UNRESPONSIVE_TIMEOUT_MS 1000
 
-/* Sessions of one target at most. */
+/* Maximum number of sessions that a target may announce. */
 #define CONNECTIONS_MAX 100000
 
-int agent_target_ready(const dy_agent_t *agent)
+int agent_target_is_ready(const dy_agent_t *agent)
 {
-	return agent->service.known && agent->target.healthy &&
+	return agent->service.known && agent->target.lease_valid &&
 	       !agent->superseded;
 }
 
-int agent_target_answers(const dy_agent_t *agent)
+int agent_target_is_responsive(const dy_agent_t *agent)
 {
-	return agent_target_ready(agent) && agent->up;
+	return agent_target_is_ready(agent) && agent->links_up;
 }
 
 void agent_target_set_slots(dy_agent_t *agent)
@@ -43,38 +44,38 @@
 	if (agent->service.known)
 		slots = MIN(slots, agent->service.slots);
 	agent->slots = MIN(slots, DY_AGENT_SLOTS_MAX);
-	if (agent->target.away)
+	if (agent->target.unresponsive)
 		slots = 0;
 	dy_admission_set_slots(agent->admission,
 			       MIN(slots, DY_AGENT_SLOTS_MAX));
 }
 
-static void schedule(dy_agent_t *agent, target_link_t *link)
+static void schedule_connect(dy_agent_t *agent, target_link_t *link)
 {
 	link->retry_at_ms = agent_now_ms(agent);
 	if (link->attempts)
-		link->retry_at_ms +=
-			dy_retry_backoff_ms(link->attempts, CONNECT_MIN_MS,
-					    CONNECT_MAX_MS, agent->rand);
+		link->retry_at_ms += dy_retry_backoff_ms(
+			link->attempts, CONNECT_BACKOFF_MIN_MS,
+			CONNECT_BACKOFF_MAX_MS, agent->rand);
 	link->attempts++;
 }
 
-static void forget_link(dy_agent_t *agent, unsigned index)
+static void reset_link(dy_agent_t *agent, unsigned index)
 {
 	target_link_t *link = &agent->links[index];
 	int was_up = link->state == LINK_UP;
 
 	link->state = LINK_CLOSED;
-	schedule(agent, link);
+	schedule_connect(agent, link);
 	if (index == DY_AGENT_CANCEL_LINK) {
 		agent_cancel_fail_all(agent);
 		return;
 	}
 	if (was_up)
-		agent->up--;
+		agent->links_up--;
 	if (link->call)
 		agent_call_event(agent, link->call, DY_EVENT_TARGET_LOST,
-				 RETRY_MS);
+				 RETRY_AFTER_MS);
 	dy_assert(!link->call);
 }
 
@@ -83,27 +84,27 @@
 	if (agent->links[index].state == LINK_CLOSED)
 		return;
 	agent->config.callbacks->link_close(agent->config.context, index);
-	forget_link(agent, index);
+	reset_link(agent, index);
 }
 
 void dy_agent_link_down(dy_agent_t *agent, unsigned index)
 {
 	if (agent->links[index].state == LINK_CLOSED)
 		return;
-	agent_note(agent, EVENT_LINK_DOWN, "link=%u in_call=%d", index,
-		   !!agent->links[index].call);
-	forget_link(agent, index);
-	agent_call_pump(agent);
+	agent_log_event(agent, EVENT_LINK_DOWN, "link=%u in_call=%d", index,
+			!!agent->links[index].call);
+	reset_link(agent, index);
+	agent_call_dispatch(agent);
 }
 
 /*
- * Guards against a target that is frozen while its announcements go on: its
- * kernel still takes connections, and each call handed to one would end as
- * may have run. It holds because a connection carries no call before the
- * target has answered NULL on it, and every call that is given up on closes
- * its connection: a stall costs one such call for each slot.
+ * Guards against a target that is frozen while its announcements go on. Its
+ * kernel still accepts connections, and each call sent on one would end as "may
+ * have run". So a connection carries calls only after the target has answered
+ * NULL on it, and a call that times out closes its connection. A stall then
+ * costs at most one such call for each slot.
  */
-static void probe(dy_agent_t *agent, unsigned index)
+static void send_probe(dy_agent_t *agent, unsigned index)
 {
 	target_link_t *link = &agent->links[index];
 	dy_rpc_call_t message = { 0 };
@@ -111,7 +112,7 @@
 
 	link->state = LINK_PROBING;
 	link->probe_xid = agent->next_xid++;
-	link->probed_ms = agent_now_ms(agent);
+	link->probe_sent_ms = agent_now_ms(agent);
 	message.xid = link->probe_xid;
 	message.program = agent->service.program;
 	message.program_version = agent->service.program_version;
@@ -122,23 +123,24 @@
 		agent_link_close(agent, index);
 }
 
-/* Any reply to the probe shows that the target runs. */
-static void take_probe(dy_agent_t *agent, unsigned index, const uint8_t *bytes,
-		       size_t len)
+/* Any well-formed reply, also an error, shows that the target responds. */
+static void receive_probe_reply(dy_agent_t *agent, unsigned index,
+				const uint8_t *bytes, size_t len)
 {
 	target_link_t *link = &agent->links[index];
 	dy_rpc_reply_t reply;
 
 	if (!bytes || dy_rpc_parse_reply(bytes, len, &reply) ||
 	    reply.xid != link->probe_xid) {
-		agent_note(agent, EVENT_ANSWER_BAD, "link=%u probe=1", index);
+		agent_log_event(agent, EVENT_ANSWER_BAD, "link=%u probe=1",
+				index);
 		agent_link_close(agent, index);
 		return;
 	}
 	link->state = LINK_UP;
-	agent_note(agent, EVENT_LINK_UP, "link=%u", index);
-	agent->up++;
-	dy_assert(agent->up <= DY_AGENT_SLOTS_MAX);
+	agent_log_event(agent, EVENT_LINK_UP, "link=%u", index);
+	agent->links_up++;
+	dy_assert(agent->links_up <= DY_AGENT_SLOTS_MAX);
 }
 
 void dy_agent_link_up(dy_agent_t *agent, unsigned index)
@@ -148,10 +150,11 @@
 	if (index == DY_AGENT_CANCEL_LINK)
 		agent->links[index].state = LINK_UP;
 	else
-		probe(agent, index);
+		send_probe(agent, index);
 }
 
-static dy_call_event_t classify(const dy_rpc_reply_t *reply, uint32_t *retry_ms)
+static dy_call_event_t classify_reply(const dy_rpc_reply_t *reply,
+				      uint32_t *retry_ms)
 {
 	dy_refusal_t refusal;
 
@@ -171,30 +174,31 @@
 	return DY_EVENT_ANSWERED_FAULT;
 }
 
-static void take_reply(dy_agent_t *agent, call_t *call,
-		       const dy_rpc_reply_t *reply)
+static void receive_reply(dy_agent_t *agent, call_t *call,
+			  const dy_rpc_reply_t *reply)
 {
 	uint32_t retry_ms = 0;
-	dy_call_event_t event = classify(reply, &retry_ms);
+	dy_call_event_t event = classify_reply(reply, &retry_ms);
 
 	if (event == DY_EVENT_ANSWERED || event == DY_EVENT_ANSWERED_ERROR) {
-		agent_call_pass(agent, call, reply);
+		agent_call_complete(agent, call, reply);
 		return;
 	}
-	agent_note(agent, EVENT_ANSWER_SHED, "denied=%d status=%u",
-		   reply->denied, reply->status);
+	agent_log_event(agent, EVENT_ANSWER_SHED, "denied=%d status=%u",
+			reply->denied, reply->status);
 	agent_call_event(agent, call, event, retry_ms);
 }
 
-/* What does not fit the call on this connection is trusted no further. */
-static void take_bad(dy_agent_t *agent, unsigned index, dy_call_event_t event)
+/* A reply that does not match the call ends the call and the connection. */
+static void reject_reply(dy_agent_t *agent, unsigned index,
+			 dy_call_event_t event)
 {
 	call_t *call = agent->links[index].call;
 
-	agent_note(agent,
-		   event == DY_EVENT_BAD_ANSWER ? EVENT_ANSWER_BAD
-						: EVENT_ANSWER_TOO_LARGE,
-		   "link=%u in_call=%d", index, !!call);
+	agent_log_event(agent,
+			event == DY_EVENT_BAD_ANSWER ? EVENT_ANSWER_BAD
+						     : EVENT_ANSWER_TOO_LARGE,
+			"link=%u in_call=%d", index, !!call);
 	if (call)
 		agent_call_event(agent, call, event, 0);
 	agent_link_close(agent, index);
@@ -210,19 +214,19 @@
 		return;
 	link->attempts = 0;
 	if (index == DY_AGENT_CANCEL_LINK) {
-		agent_cancel_receive(agent, bytes, len);
+		agent_cancel_receive_reply(agent, bytes, len);
 		return;
 	}
 	if (link->state == LINK_PROBING)
-		take_probe(agent, index, bytes, len);
+		receive_probe_reply(agent, index, bytes, len);
 	else if (!bytes)
-		take_bad(agent, index, DY_EVENT_ANSWER_TOO_LARGE);
+		reject_reply(agent, index, DY_EVENT_ANSWER_TOO_LARGE);
 	else if (!link->call || dy_rpc_parse_reply(bytes, len, &reply) ||
 		 reply.xid != link->call->target_xid)
-		take_bad(agent, index, DY_EVENT_BAD_ANSWER);
+		reject_reply(agent, index, DY_EVENT_BAD_ANSWER);
 	else
-		take_reply(agent, link->call, &reply);
-	agent_call_pump(agent);
+		receive_reply(agent, link->call, &reply);
+	agent_call_dispatch(agent);
 }
 
 static void close_links(dy_agent_t *agent)
@@ -236,7 +240,7 @@
 	}
 }
 
-static int is_word(const char *text)
+static int is_valid_name(const char *text)
 {
 	size_t len = strlen(text);
 
@@ -244,55 +248,57 @@
 	       strspn(text, "abcdefghijklmnopqrstuvwxyz0123456789._-") == len;
 }
 
-static int is_valid(const dy_announcement_t *from, dy_address_t *address)
+static int is_valid_announcement(const dy_announcement_t *from,
+				 dy_address_t *address)
 {
-	return is_word(from->service) &&
+	return is_valid_name(from->service) &&
 	       !dy_address_parse(from->address, address) && address->port &&
 	       from->slots && from->slots <= DY_AGENT_SLOTS_MAX &&
 	       from->connections && from->connections <= CONNECTIONS_MAX &&
 	       from->incarnation;
 }
 
-static dy_announce_status_t judge(dy_agent_t *agent,
-				  const dy_announcement_t *from,
-				  const dy_address_t *address)
+static dy_announce_status_t check_announcement(dy_agent_t *agent,
+					       const dy_announcement_t *from,
+					       const dy_address_t *address)
 {
 	const agent_target_t *target = &agent->target;
 
 	if (!target->known)
 		return DY_ANNOUNCE_OK;
 	if (strcmp(target->service, from->service)) {
-		agent_note(agent, EVENT_TARGET_OTHER_SERVICE,
-			   "service=%s announced=%s", target->service,
-			   from->service);
+		agent_log_event(agent, EVENT_TARGET_OTHER_SERVICE,
+				"service=%s announced=%s", target->service,
+				from->service);
 		return DY_ANNOUNCE_OTHER_SERVICE;
 	}
 	if (from->incarnation < target->incarnation ||
 	    (from->incarnation == target->incarnation &&
 	     !dy_address_equal(address, &target->address))) {
-		agent_note(agent, EVENT_TARGET_STALE, "incarnation=%lu",
-			   (unsigned long)from->incarnation);
+		agent_log_event(agent, EVENT_TARGET_STALE, "incarnation=%lu",
+				(unsigned long)from->incarnation);
 		return DY_ANNOUNCE_STALE;
 	}
 	return DY_ANNOUNCE_OK;
 }
 
 /*
- * Guards against an answer of the target's earlier life reaching a call to
- * its next one: every connection to the old one is closed first.
+ * Closes every connection to the previous incarnation of the target first, so
+ * that none of its answers can reach a call to the new one.
  */
-static void take_incarnation(dy_agent_t *agent, const dy_announcement_t *from,
-			     const dy_address_t *address)
+static void apply_incarnation(dy_agent_t *agent, const dy_announcement_t *from,
+			      const dy_address_t *address)
 {
 	agent_target_t *target = &agent->target;
 
 	if (target->known)
-		agent_note(agent, EVENT_TARGET_RESTARTED, "incarnation=%lu",
-			   (unsigned long)from->incarnation);
+		agent_log_event(agent, EVENT_TARGET_RESTARTED,
+				"incarnation=%lu",
+				(unsigned long)from->incarnation);
 	else
-		agent_note(agent, EVENT_TARGET_ANNOUNCED,
-			   "service=%s slots=%u connections=%u", from->service,
-			   from->slots, from->connections);
+		agent_log_event(agent, EVENT_TARGET_ANNOUNCED,
+				"service=%s slots=%u connections=%u",
+				from->service, from->slots, from->connections);
 	close_links(agent);
 	target->known = 1;
 	target->incarnation = from->incarnation;
@@ -302,20 +308,20 @@
 	g_strlcpy(target->labels, from->labels, sizeof(target->labels));
 }
 
-static void tell_info(dy_agent_t *agent)
+static void report_target_info(dy_agent_t *agent)
 {
 	agent_target_t *target = &agent->target;
 	dy_announcement_t info = { 0 };
 
 	info.service = target->service;
 	info.labels = target->labels;
-	info.slots = target->away ? 0 : target->slots;
+	info.slots = target->unresponsive ? 0 : target->slots;
 	info.connections = target->connections;
 	agent->config.callbacks->info(agent->config.context, &info);
 }
 
-static void take_announcement(dy_agent_t *agent, const dy_announcement_t *from,
-			      const dy_address_t *address)
+static void apply_announcement(dy_agent_t *agent, const dy_announcement_t *from,
+			       const dy_address_t *address)
 {
 	agent_target_t *target = &agent->target;
 	int changed = !target->known || target->slots != from->slots ||
@@ -323,16 +329,16 @@
 		      target->incarnation != from->incarnation;
 
 	if (!target->known || target->incarnation != from->incarnation)
-		take_incarnation(agent, from, address);
+		apply_incarnation(agent, from, address);
 	target->cold = from->cold;
 	target->announced_ms = agent_now_ms(agent);
-	target->healthy = 1;
+	target->lease_valid = 1;
 	target->slots = from->slots;
 	target->connections = from->connections;
 	if (!changed)
 		return;
 	agent_apply_limits(agent);
-	tell_info(agent);
+	report_target_info(agent);
 }
 
 void dy_agent_announce(dy_agent_t *agent, const dy_announcement_t *from,
@@ -341,80 +347,81 @@
 	dy_address_t address;
 
 	result->lease_ms = DY_TARGET_LEASE_MS;
-	if (!is_valid(from, &address)) {
-		agent_note(agent, EVENT_TARGET_MALFORMED, "service=%s",
-			   dy_log_quote(from->service));
+	if (!is_valid_announcement(from, &address)) {
+		agent_log_event(agent, EVENT_TARGET_MALFORMED, "service=%s",
+				dy_log_quote(from->service));
 		result->status = DY_ANNOUNCE_MALFORMED;
 		return;
 	}
-	result->status = judge(agent, from, &address);
+	result->status = check_announcement(agent, from, &address);
 	if (result->status != DY_ANNOUNCE_OK ||
 	    (from->draining && !agent->target.known))
 		return;
-	take_announcement(agent, from, &address);
+	apply_announcement(agent, from, &address);
 	if (from->draining)
 		dy_agent_leave(agent, "target", 0);
-	agent_call_pump(agent);
+	agent_call_dispatch(agent);
 }
 
 static void check_lease(dy_agent_t *agent)
 {
 	agent_target_t *target = &agent->target;
 
-	if (!target->healthy ||
+	if (!target->lease_valid ||
 	    agent_now_ms(agent) - target->announced_ms <= DY_TARGET_LEASE_MS)
 		return;
-	target->healthy = 0;
-	agent_note(agent, EVENT_TARGET_LEASE_LAPSED, "service=%s",
-		   target->service);
-	agent_call_stop_unsent(agent, DY_EVENT_TARGET_LOST);
+	target->lease_valid = 0;
+	agent_log_event(agent, EVENT_TARGET_LEASE_LAPSED, "service=%s",
+			target->service);
+	agent_call_refuse_unsent(agent, DY_EVENT_TARGET_LOST);
 }
 
-static void set_away(dy_agent_t *agent, int away)
+static void set_unresponsive(dy_agent_t *agent, int unresponsive)
 {
 	agent_target_t *target = &agent->target;
 
-	if (target->away == away)
+	if (target->unresponsive == unresponsive)
 		return;
-	target->away = away;
+	target->unresponsive = unresponsive;
 	agent_target_set_slots(agent);
-	agent_note(agent, away ? EVENT_TARGET_AWAY : EVENT_TARGET_BACK,
-		   "service=%s sessions=%u", target->service,
-		   dy_sessions_count(agent->sessions));
-	tell_info(agent);
+	agent_log_event(agent,
+			unresponsive ? EVENT_TARGET_AWAY : EVENT_TARGET_BACK,
+			"service=%s sessions=%u", target->service,
+			dy_sessions_count(agent->sessions));
+	report_target_info(agent);
 }
 
 /*
- * Guards against flows that stay bound to a target that is gone, while
- * others could serve them: each of their calls would be refused until the
- * caller gives up. Their sessions and what they remember are whole here, and
- * move as in a planned stop.
+ * Guards against flows that stay bound to a lost target although other targets
+ * could serve them: each of their calls would be refused until the caller
+ * gives up. The sessions and their duplicate request caches are intact in this
+ * agent, and are handed over as in a planned stop.
  */
-static void check_silence(dy_agent_t *agent)
+static void check_responsiveness(dy_agent_t *agent)
 {
 	uint64_t successors[DY_SUCCESSORS_MAX];
 	uint64_t now_ms = agent_now_ms(agent);
 	agent_target_t *target = &agent->target;
 
-	if (agent_target_answers(agent)) {
-		target->silent_ms = 0;
-		set_away(agent, 0);
+	if (agent_target_is_responsive(agent)) {
+		target->unresponsive_since_ms = 0;
+		set_unresponsive(agent, 0);
 		return;
 	}
-	if (!target->silent_ms)
-		target->silent_ms = now_ms;
-	if (now_ms - target->silent_ms >= AWAY_MS)
-		set_away(agent, 1);
-	if (now_ms - target->silent_ms >= DY_TARGET_LOST_MS &&
+	if (!target->unresponsive_since_ms)
+		target->unresponsive_since_ms = now_ms;
+	if (now_ms - target->unresponsive_since_ms >= UNRESPONSIVE_TIMEOUT_MS)
+		set_unresponsive(agent, 1);
+	if (now_ms - target->unresponsive_since_ms >= DY_TARGET_LOST_MS &&
 	    agent->state == DY_MEMBER_SERVING &&
 	    dy_sessions_count(agent->sessions) &&
-	    agent_member_successors(agent, successors))
+	    agent_member_choose_successors(agent, successors))
 		dy_agent_leave(agent, "target_lost", 0);
 }
 
-static int is_wanted(const dy_agent_t *agent, unsigned index)
+static int is_link_needed(const dy_agent_t *agent, unsigned index)
 {
-	/* The probe needs the service's program. */
+	/* The probe contains the program number of the service. */
 	if (!agent->service.known)
 		return 0;
 	if (index == DY_AGENT_CANCEL_LINK)
@@ -422,18 +429,19 @@
 	return index < agent->slots;
 }
 
-static void keep_link(dy_agent_t *agent, unsigned index)
+static void maintain_link(dy_agent_t *agent, unsigned index)
 {
 	target_link_t *link = &agent->links[index];
 
-	if (!is_wanted(agent, index)) {
+	if (!is_link_needed(agent, index)) {
 		if (link->state != LINK_CLOSED && !link->call)
 			agent_link_close(agent, index);
 		return;
 	}
 	if (link->state == LINK_PROBING &&
-	    agent_now_ms(agent) - link->probed_ms >= PROBE_TIMEOUT_MS) {
-		agent_note(agent, EVENT_PROBE_UNANSWERED, "link=%u", index);
+	    agent_now_ms(agent) - link->probe_sent_ms >= PROBE_TIMEOUT_MS) {
+		agent_log_event(agent, EVENT_PROBE_UNANSWERED, "link=%u",
+				index);
 		agent_link_close(agent, index);
 	}
 	if (link->state != LINK_CLOSED ||
@@ -452,7 +460,7 @@
 		return;
 	check_lease(agent);
 	if (agent->service.known)
-		check_silence(agent);
+		check_responsiveness(agent);
 	for (i = 0; i < DY_AGENT_LINKS; i++)
-		keep_link(agent, i);
+		maintain_link(agent, i);
 }
--- a/src/process/agent/record_link.c
+++ b/src/process/agent/record_link.c
@@ -4,11 +4,11 @@
 
 #include <glib.h>
 
-#define HEAD_BYTES 4
+#define RECORD_MARK_BYTES 4
 #define LAST_FRAGMENT 0x80000000U
-#define READ_BYTES 65536
+#define READ_BUFFER_BYTES 65536
 
-/* On one machine a connection stands within a millisecond or not at all. */
+/* A local connection is established within a millisecond, or not at all. */
 #define CONNECT_TIMEOUT_MS 2000
 
 typedef struct connection {
@@ -20,12 +20,12 @@
 	int up;
 	int failed;
 	uint64_t opened_ms;
-	uint8_t head[HEAD_BYTES];
-	size_t head_len;
+	uint8_t mark[RECORD_MARK_BYTES];
+	size_t mark_len;
 	uint32_t fragment_left;
 	int is_last;
 	int too_large;
-	uint8_t record[RECORD_BYTES];
+	uint8_t record[RECORD_MAX_BYTES];
 	size_t record_len;
 } connection_t;
 
@@ -35,7 +35,7 @@
 	void *context;
 	unsigned count;
 	connection_t **connections;
-	char buffer[READ_BYTES];
+	char buffer[READ_BUFFER_BYTES];
 };
 
 record_links_t *record_links_create(uv_loop_t *loop, unsigned count,
@@ -105,31 +105,31 @@
 				  len);
 }
 
-static size_t take_head(connection_t *connection, const uint8_t *bytes,
+static size_t read_mark(connection_t *connection, const uint8_t *bytes,
 			size_t len)
 {
-	size_t n = MIN(len, HEAD_BYTES - connection->head_len);
+	size_t n = MIN(len, RECORD_MARK_BYTES - connection->mark_len);
 	uint32_t mark;
 
-	memcpy(connection->head + connection->head_len, bytes, n);
-	connection->head_len += n;
-	if (connection->head_len < HEAD_BYTES)
+	memcpy(connection->mark + connection->mark_len, bytes, n);
+	connection->mark_len += n;
+	if (connection->mark_len < RECORD_MARK_BYTES)
 		return n;
-	memcpy(&mark, connection->head, HEAD_BYTES);
+	memcpy(&mark, connection->mark, RECORD_MARK_BYTES);
 	mark = ntohl(mark);
 	connection->is_last = !!(mark & LAST_FRAGMENT);
 	connection->fragment_left = mark & ~LAST_FRAGMENT;
 	return n;
 }
 
-/* Bytes beyond RECORD_BYTES are passed over, so that memory is bounded. */
-static size_t take_body(connection_t *connection, const uint8_t *bytes,
-			size_t len)
+/* Discards a record beyond RECORD_MAX_BYTES, so that memory is bounded. */
+static size_t read_fragment(connection_t *connection, const uint8_t *bytes,
+			    size_t len)
 {
 	size_t n = MIN(len, connection->fragment_left);
-	size_t room = RECORD_BYTES - connection->record_len;
+	size_t space = RECORD_MAX_BYTES - connection->record_len;
 
-	if (n > room)
+	if (n > space)
 		connection->too_large = 1;
 	if (!connection->too_large) {
 		memcpy(connection->record + connection->record_len, bytes, n);
@@ -139,22 +139,22 @@
 	return n;
 }
 
-static void take_bytes(connection_t *connection, const uint8_t *bytes,
-		       size_t len)
+static void receive_bytes(connection_t *connection, const uint8_t *bytes,
+			  size_t len)
 {
 	size_t n;
 
 	while (len && !connection->closed) {
-		if (connection->head_len < HEAD_BYTES)
-			n = take_head(connection, bytes, len);
+		if (connection->mark_len < RECORD_MARK_BYTES)
+			n = read_mark(connection, bytes, len);
 		else
-			n = take_body(connection, bytes, len);
+			n = read_fragment(connection, bytes, len);
 		bytes += n;
 		len -= n;
-		if (connection->head_len < HEAD_BYTES ||
+		if (connection->mark_len < RECORD_MARK_BYTES ||
 		    connection->fragment_left)
 			continue;
-		connection->head_len = 0;
+		connection->mark_len = 0;
 		if (connection->is_last)
 			finish_record(connection);
 	}
@@ -166,7 +166,7 @@
 
 	(void)suggested;
 	buf->base = connection->links->buffer;
-	buf->len = READ_BYTES;
+	buf->len = READ_BUFFER_BYTES;
 }
 
 static void on_read(uv_stream_t *stream, ssize_t len, const uv_buf_t *buf)
@@ -178,7 +178,8 @@
 	if (len < 0)
 		report_down(connection);
 	else
-		take_bytes(connection, (const uint8_t *)buf->base, (size_t)len);
+		receive_bytes(connection, (const uint8_t *)buf->base,
+			      (size_t)len);
 }
 
 static void on_connected(uv_connect_t *request, int status)
@@ -225,7 +226,8 @@
 		report_down(connection);
 }
 
-static int send_rest(connection_t *connection, const uint8_t *bytes, size_t len)
+static int queue_rest(connection_t *connection, const uint8_t *bytes,
+		      size_t len)
 {
 	uv_write_t *request = g_malloc(sizeof(*request) + len);
 	uv_buf_t buf = uv_buf_init((char *)(request + 1), (unsigned)len);
@@ -243,22 +245,22 @@
 		     size_t len)
 {
 	connection_t *connection = links->connections[link];
-	static uint8_t out[HEAD_BYTES + RECORD_BYTES];
+	static uint8_t out[RECORD_MARK_BYTES + RECORD_MAX_BYTES];
 	uint32_t mark = htonl((uint32_t)len | LAST_FRAGMENT);
-	size_t total = HEAD_BYTES + len;
+	size_t total = RECORD_MARK_BYTES + len;
 	uv_buf_t buf = uv_buf_init((char *)out, (unsigned)total);
 	int sent;
 
-	if (!connection || !connection->up || len > RECORD_BYTES)
+	if (!connection || !connection->up || len > RECORD_MAX_BYTES)
 		return -1;
-	memcpy(out, &mark, HEAD_BYTES);
-	memcpy(out + HEAD_BYTES, bytes, len);
+	memcpy(out, &mark, RECORD_MARK_BYTES);
+	memcpy(out + RECORD_MARK_BYTES, bytes, len);
 	sent = uv_try_write((uv_stream_t *)&connection->tcp, &buf, 1);
 	if (sent <= 0)
 		return -1;
 	if ((size_t)sent == total)
 		return 0;
-	return send_rest(connection, out + sent, total - (size_t)sent);
+	return queue_rest(connection, out + sent, total - (size_t)sent);
 }
 
 void record_links_tick(record_links_t *links)
