--- a/include/damaskyard/agent.h
+++ b/include/damaskyard/agent.h
@@ -88,11 +88,13 @@
 	/* Send an answer to a balancer. */
 	void (*answer)(void *context, const dy_address_t *to,
 		       dy_answer_t *answer);
+	/* Return a call to the balancer, for another agent. */
 	void (*bounce)(void *context, const dy_address_t *to,
 		       dy_bounce_t *bounce);
 	/* Send a call on to another agent. */
 	void (*relay)(void *context, const dy_address_t *to,
 		      dy_forward_t *forward);
+	/* Send sessions, or an offer without sessions, to another agent. */
 	void (*handover)(void *context, const dy_address_t *to,
 			 dy_handover_t *handover);
 	/*
--- a/src/process/agent/agent_leave.c
+++ b/src/process/agent/agent_leave.c
@@ -34,7 +34,7 @@
 /* Interval between two messages with the same session, in ms. */
 #define RETRANSMIT_INTERVAL_MS 250
 
-/* A message is sent once its sessions reach this size. */
+/* A message with several sessions is sent once these reach this size. */
 #define BATCH_BYTES 8192
 
 /*
@@ -52,9 +52,9 @@
 /* Timeout of a planned stop if the service has no other agent, in ms. */
 #define NO_SUCCESSOR_TIMEOUT_MS 5000
 
-void dy_agent_leave(dy_agent_t *agent, const char *why, int ends)
+void dy_agent_leave(dy_agent_t *agent, const char *why, int exits)
 {
-	if (ends && !agent->exit_after_drain) {
+	if (exits && !agent->exit_after_drain) {
 		agent->exit_after_drain = 1;
 		agent->exit_requested_ms = agent_now_ms(agent);
 	}
--- a/tests/fake_agents.c
+++ b/tests/fake_agents.c
@@ -9,32 +9,36 @@
 
 #define STEP_MS 50
 
-/* A long time passes in longer steps. */
-#define LONG_MS 20000
+/* From LONG_ADVANCE_MS on the clock advances in longer steps. */
+#define LONG_ADVANCE_MS 20000
 #define LONG_STEP_MS 500
 
-/* The network's maximum segment lifetime. */
-#define MAIL_LIFE_US 60000000ULL
+/* Maximum segment lifetime of the network. */
+#define MESSAGE_TTL_US 60000000ULL
 
 static const char document_text[] =
 	"[service readings]\naddress = 10.0.0.1:1\nprogram = 0x2A000001\n"
 	"version = 1\nidempotent = 2\ndeadline_ms = 1000\nslots = 2\n"
 	"session_idle_s = 300\n";
 
-typedef enum mail_kind { MAIL_FORWARD, MAIL_MOVE, MAIL_TAKEN } mail_kind_t;
+typedef enum message_kind {
+	MESSAGE_FORWARD,
+	MESSAGE_HANDOVER,
+	MESSAGE_HANDOVER_RESULT
+} message_kind_t;
 
-typedef struct mail {
-	mail_kind_t kind;
+typedef struct message {
+	message_kind_t kind;
 	unsigned from;
 	unsigned to;
-	uint64_t posted_us;
+	uint64_t sent_us;
 	uint8_t *bytes;
 	size_t len;
-} mail_t;
+} message_t;
 
-void world_fail(const char *what, uint32_t id)
+void world_violation(const char *what, uint32_t id)
 {
-	fprintf(stderr, "promise broken: %s, call %u\n", what, id);
+	fprintf(stderr, "invariant violated: %s, call %u\n", what, id);
 	abort();
 }
 
@@ -51,8 +55,8 @@
 	return ((fake_agent_t *)context)->world->now_us;
 }
 
-static void take_token(fake_caller_t *caller, fake_agent_t *from,
-		       const dy_rpc_reply_t *reply)
+static void store_token(fake_caller_t *caller, fake_agent_t *from,
+			const dy_rpc_reply_t *reply)
 {
 	dy_rpc_auth_t token = { AUTH_SHORT, DY_TOKEN_BYTES, NULL };
 
@@ -60,7 +64,7 @@
 		return;
 	token.body = reply->verifier.body + 8;
 	if (dy_token_load(from->ring, &token, &caller->fields) != DY_TOKEN_OK)
-		world_fail("a token of its own agent is not good", 0);
+		world_violation("agent issued an invalid token", 0);
 	memcpy(caller->token, token.body, DY_TOKEN_BYTES);
 	caller->has_token = 1;
 }
@@ -77,8 +81,8 @@
 	return NULL;
 }
 
-static void check_whole(fake_world_t *world, fake_call_t *call,
-			const dy_rpc_reply_t *reply)
+static void check_results(fake_world_t *world, fake_call_t *call,
+			  const dy_rpc_reply_t *reply)
 {
 	uint32_t id = (uint32_t)(call - world->calls);
 	uint32_t word;
@@ -87,9 +91,9 @@
 		return;
 	memcpy(&word, reply->results, 4);
 	if (reply->results_len != 4 || ntohl(word) != id)
-		world_fail("an answer is another call's, or not whole", id);
+		world_violation("answer of another call, or truncated", id);
 	if (!call->runs)
-		world_fail("an answer to a call that never ran", id);
+		world_violation("answer to a call that did not run", id);
 }
 
 static void check_answer(fake_world_t *world, fake_call_t *call,
@@ -104,7 +108,7 @@
 		refusal.verdict = DY_NOT_RUN;
 	else if (dy_rpc_load_refusal(reply, &refusal) &&
 		 reply->status == SUCCESS)
-		check_whole(world, call, reply);
+		check_results(world, call, reply);
 	call->verdict = refusal.verdict;
 	call->reason = refusal.reason;
 	call->retry_ms = refusal.retry_after_ms;
@@ -113,7 +117,7 @@
 		return;
 	call->not_run = 1;
 	if (call->runs)
-		world_fail("said not to have run, after it ran", id);
+		world_violation("reported as not run after it ran", id);
 }
 
 static void check_cancel(fake_world_t *world, const fake_call_t *cancel,
@@ -131,10 +135,11 @@
 	if (call->procedure != FAKE_SUBMIT)
 		return;
 	if (result->verdict == DY_NOT_RUN && call->runs)
-		world_fail("cancelled as not run, after it ran", cancel->meant);
+		world_violation("cancelled as not run after it ran",
+				cancel->meant);
 	if (result->verdict == DY_RAN && !call->runs)
-		world_fail("said to have run before it was cancelled",
-			   cancel->meant);
+		world_violation("cancel result is that it ran, but it did not",
+				cancel->meant);
 	call->not_run |= result->verdict == DY_NOT_RUN;
 }
 
@@ -149,14 +154,14 @@
 
 	if (dy_rpc_parse_reply((uint8_t *)answer->datagram.datagram_val,
 			       answer->datagram.datagram_len, &reply))
-		world_fail("a malformed answer", 0);
+		world_violation("malformed answer", 0);
 	if (to->port != 7000)
-		world_fail("an answer that passes no balancer", 0);
+		world_violation("answer not sent to the balancer", 0);
 	if (!reply.denied && reply.status == SUCCESS)
-		take_token(&world->callers[caller], from, &reply);
+		store_token(&world->callers[caller], from, &reply);
 	call = find_call(world, caller, reply.xid);
 	if (!call)
-		world_fail("an answer to no call", reply.xid);
+		world_violation("answer to an unknown call", reply.xid);
 	if (call->procedure == FAKE_CANCEL)
 		check_cancel(world, call, &reply);
 	else
@@ -173,40 +178,42 @@
 	dy_rpc_parse_call((uint8_t *)bounce->forward.datagram.datagram_val,
 			  bounce->forward.datagram.datagram_len, &call);
 	if (call.procedure == FAKE_SUBMIT)
-		world_fail("a non-idempotent call is sent elsewhere", call.xid);
+		world_violation("non-idempotent call bounced", call.xid);
 	world->bounces++;
 	world->bounce_reason = bounce->reason;
 }
 
-static void post(fake_agent_t *from, mail_kind_t kind, const dy_address_t *to,
-		 xdrproc_t proc, void *value)
+static void send_message(fake_agent_t *from, message_kind_t kind,
+			 const dy_address_t *to, xdrproc_t proc, void *value)
 {
 	static uint8_t bytes[1 << 17];
-	mail_t *mail = g_new0(mail_t, 1);
+	message_t *message = g_new0(message_t, 1);
 	XDR xdrs;
 
 	xdrmem_create(&xdrs, (char *)bytes, sizeof(bytes), XDR_ENCODE);
 	if (!proc(&xdrs, value))
-		world_fail("a message that cannot be written", 0);
-	mail->kind = kind;
-	mail->posted_us = from->world->now_us;
-	mail->from = from->index;
-	mail->to = to->port - 9000;
-	mail->len = xdr_getpos(&xdrs);
-	mail->bytes = g_memdup2(bytes, mail->len);
-	g_queue_push_tail(&from->world->mail, mail);
+		world_violation("message cannot be encoded", 0);
+	message->kind = kind;
+	message->sent_us = from->world->now_us;
+	message->from = from->index;
+	message->to = to->port - 9000;
+	message->len = xdr_getpos(&xdrs);
+	message->bytes = g_memdup2(bytes, message->len);
+	g_queue_push_tail(&from->world->mail, message);
 }
 
 static void on_relay(void *context, const dy_address_t *to,
 		     dy_forward_t *forward)
 {
-	post(context, MAIL_FORWARD, to, (xdrproc_t)xdr_dy_forward_t, forward);
+	send_message(context, MESSAGE_FORWARD, to, (xdrproc_t)xdr_dy_forward_t,
+		     forward);
 }
 
 static void on_handover(void *context, const dy_address_t *to,
 			dy_handover_t *handover)
 {
-	post(context, MAIL_MOVE, to, (xdrproc_t)xdr_dy_handover_t, handover);
+	send_message(context, MESSAGE_HANDOVER, to,
+		     (xdrproc_t)xdr_dy_handover_t, handover);
 }
 
 static void on_link_open(void *context, unsigned link, const dy_address_t *to)
@@ -224,14 +231,15 @@
 	memset(&agent->links[link], 0, sizeof(fake_link_t));
 }
 
-static void run(fake_world_t *world, uint32_t id)
+static void run_call(fake_world_t *world, uint32_t id)
 {
 	fake_call_t *call = &world->calls[id];
 
 	if (call->procedure == FAKE_SUBMIT && call->runs)
-		world_fail("it runs twice", id);
+		world_violation("call ran twice", id);
 	if (call->not_run)
-		world_fail("it runs after it was said not to have run", id);
+		world_violation("call ran after it was reported as not run",
+				id);
 	call->runs++;
 }
 
@@ -246,7 +254,7 @@
 	if (agent->refuse_sends)
 		return -1;
 	if (!link->up || link->busy || dy_rpc_parse_call(bytes, len, &call))
-		world_fail("two calls on one connection", 0);
+		world_violation("two calls on one connection", 0);
 	link->target_xid = call.xid;
 	link->probed = call.program == PROGRAM && call.procedure == NULLPROC;
 	if (link->probed)
@@ -256,12 +264,13 @@
 	link->id = ntohl(word);
 	if (index == DY_AGENT_CANCEL_LINK)
 		return 0;
-	run(agent->world, link->id);
+	run_call(agent->world, link->id);
 	return 0;
 }
 
-static void publish(fake_agent_t *agent, dy_member_state_t state,
-		    unsigned slots, const uint64_t *successors, unsigned count)
+static void publish_member(fake_agent_t *agent, dy_member_state_t state,
+			   unsigned slots, const uint64_t *successors,
+			   unsigned count)
 {
 	dy_member_t *member = g_new0(dy_member_t, 1);
 
@@ -285,7 +294,7 @@
 static void on_state(void *context, dy_member_state_t state,
 		     const uint64_t *successors, unsigned count)
 {
-	publish(context, state, FAKE_SLOTS, successors, count);
+	publish_member(context, state, FAKE_SLOTS, successors, count);
 }
 
 static void on_info(void *context, const dy_announcement_t *target)
@@ -293,8 +302,8 @@
 	fake_agent_t *agent = context;
 
 	if (agent->agent && dy_agent_state(agent->agent) != DY_MEMBER_LEFT)
-		publish(agent, dy_agent_state(agent->agent), target->slots,
-			NULL, 0);
+		publish_member(agent, dy_agent_state(agent->agent),
+			       target->slots, NULL, 0);
 }
 
 static void on_left(void *context)
@@ -338,10 +347,10 @@
 	return world;
 }
 
-static void free_mail(mail_t *mail)
+static void free_message(message_t *message)
 {
-	g_free(mail->bytes);
-	g_free(mail);
+	g_free(message->bytes);
+	g_free(message);
 }
 
 void fake_world_destroy(fake_world_t *world)
@@ -421,7 +430,7 @@
 	agent->seen = 0;
 	agent->left = 0;
 	agent->announcing = 1;
-	publish(agent, DY_MEMBER_SERVING, FAKE_SLOTS, NULL, 0);
+	publish_member(agent, DY_MEMBER_SERVING, FAKE_SLOTS, NULL, 0);
 	dy_agent_grant(agent->agent, agent->incarnation);
 	dy_agent_set_lease(agent->agent, 1);
 	world_announce(world, index, 0);
@@ -439,7 +448,7 @@
 	dy_agent_link_receive(agent->agent, index, out, len);
 }
 
-static void raise_links(fake_agent_t *agent)
+static void bring_up_links(fake_agent_t *agent)
 {
 	unsigned i;
 
@@ -460,7 +469,7 @@
 	fake_agent_t *agent;
 	unsigned i;
 
-	unsigned step_ms = ms >= LONG_MS ? LONG_STEP_MS : STEP_MS;
+	unsigned step_ms = ms >= LONG_ADVANCE_MS ? LONG_STEP_MS : STEP_MS;
 
 	for (; ms >= step_ms; ms -= step_ms) {
 		world->now_us += step_ms * 1000ULL;
@@ -471,33 +480,33 @@
 			if (agent->announcing)
 				world_announce(world, i, 0);
 			dy_agent_tick(agent->agent);
-			raise_links(agent);
+			bring_up_links(agent);
 		}
 	}
 }
 
-static void deliver_move(fake_agent_t *to, unsigned from, XDR *xdrs)
+static void deliver_handover(fake_agent_t *to, unsigned from, XDR *xdrs)
 {
 	dy_handover_result_t result;
 	dy_handover_t handover = { 0 };
 	dy_address_t address;
 
 	if (!xdr_dy_handover_t(xdrs, &handover))
-		world_fail("a handover that cannot be read", 0);
+		world_violation("handover cannot be decoded", 0);
 	dy_agent_take_handover(to->agent, &handover, &result);
 	world_address(&address, from);
-	post(to, MAIL_TAKEN, &address, (xdrproc_t)xdr_dy_handover_result_t,
-	     &result);
+	send_message(to, MESSAGE_HANDOVER_RESULT, &address,
+		     (xdrproc_t)xdr_dy_handover_result_t, &result);
 	xdr_free((xdrproc_t)xdr_dy_handover_t, (char *)&handover);
 	xdr_free((xdrproc_t)xdr_dy_handover_result_t, (char *)&result);
 }
 
-static void deliver_taken(fake_agent_t *to, XDR *xdrs)
+static void deliver_handover_result(fake_agent_t *to, XDR *xdrs)
 {
 	dy_handover_result_t result = { 0 };
 
 	if (!xdr_dy_handover_result_t(xdrs, &result))
-		world_fail("a result that cannot be read", 0);
+		world_violation("handover result cannot be decoded", 0);
 	dy_agent_handover_result(to->agent, &result);
 	xdr_free((xdrproc_t)xdr_dy_handover_result_t, (char *)&result);
 }
@@ -508,69 +517,70 @@
 	dy_address_t address;
 
 	if (!xdr_dy_forward_t(xdrs, &forward))
-		world_fail("a forward that cannot be read", 0);
+		world_violation("forward cannot be decoded", 0);
 	world_address(&address, from);
 	dy_agent_forward(to->agent, &address, &forward);
 	xdr_free((xdrproc_t)xdr_dy_forward_t, (char *)&forward);
 }
 
-static void deliver(fake_world_t *world, const mail_t *mail)
+static void deliver(fake_world_t *world, const message_t *message)
 {
-	fake_agent_t *to = &world->agents[mail->to];
+	fake_agent_t *to = &world->agents[message->to];
 	XDR xdrs;
 
-	if (!to->agent || world->now_us - mail->posted_us > MAIL_LIFE_US)
+	if (!to->agent || world->now_us - message->sent_us > MESSAGE_TTL_US)
 		return;
-	xdrmem_create(&xdrs, (char *)mail->bytes, (u_int)mail->len, XDR_DECODE);
-	if (mail->kind == MAIL_MOVE)
-		deliver_move(to, mail->from, &xdrs);
-	else if (mail->kind == MAIL_TAKEN)
-		deliver_taken(to, &xdrs);
+	xdrmem_create(&xdrs, (char *)message->bytes, (u_int)message->len,
+		      XDR_DECODE);
+	if (message->kind == MESSAGE_HANDOVER)
+		deliver_handover(to, message->from, &xdrs);
+	else if (message->kind == MESSAGE_HANDOVER_RESULT)
+		deliver_handover_result(to, &xdrs);
 	else
-		deliver_forward(to, mail->from, &xdrs);
+		deliver_forward(to, message->from, &xdrs);
 }
 
 int world_deliver(fake_world_t *world)
 {
-	mail_t *mail = g_queue_pop_head(&world->mail);
+	message_t *message = g_queue_pop_head(&world->mail);
 
-	if (!mail)
+	if (!message)
 		return 0;
-	deliver(world, mail);
-	free_mail(mail);
+	deliver(world, message);
+	free_message(message);
 	return 1;
 }
 
 int world_lose(fake_world_t *world)
 {
-	mail_t *mail = g_queue_pop_head(&world->mail);
+	message_t *message = g_queue_pop_head(&world->mail);
 
-	if (!mail)
+	if (!message)
 		return 0;
-	free_mail(mail);
+	free_message(message);
 	return 1;
 }
 
 int world_double(fake_world_t *world)
 {
-	mail_t *mail = g_queue_peek_head(&world->mail);
-	mail_t *copy;
+	message_t *message = g_queue_peek_head(&world->mail);
+	message_t *copy;
 
-	if (!mail)
+	if (!message)
 		return 0;
-	copy = g_memdup2(mail, sizeof(*mail));
-	copy->bytes = g_memdup2(mail->bytes, mail->len);
+	copy = g_memdup2(message, sizeof(*message));
+	copy->bytes = g_memdup2(message->bytes, message->len);
 	g_queue_push_tail(&world->mail, copy);
 	return 1;
 }
 
 int world_reorder(fake_world_t *world)
 {
-	mail_t *mail = g_queue_pop_head(&world->mail);
+	message_t *message = g_queue_pop_head(&world->mail);
 
-	if (mail)
-		g_queue_push_tail(&world->mail, mail);
-	return !!mail;
+	if (message)
+		g_queue_push_tail(&world->mail, message);
+	return !!message;
 }
 
 void world_settle(fake_world_t *world)
--- a/tests/fake_agents.h
+++ b/tests/fake_agents.h
@@ -2,14 +2,18 @@
 #define DAMASKYARD_FAKE_AGENTS_H
 
 /*
- * Fakes at the interfaces of the agent's core: a clock, targets whose runs
- * are counted, a network between agents that loses and doubles, control's
- * account of the members, and callers.
+ * A simulated world around the agent's core: a clock, targets that count their
+ * runs, a network between agents that drops and duplicates messages, the log
+ * of members at control, and callers.
  *
- * A call's arguments and its answer are one word, its id, unique in the
- * world. The fakes abort where a promise is broken: a non-idempotent call
- * that runs twice, that runs after it was refused as not run, that is said
- * not to have run after it did, or an answer that is another call's.
+ * The arguments and the answer of a call are one word, the id of the call,
+ * which is unique in the world. The fakes abort if an invariant is violated:
+ * a non-idempotent call runs twice, runs after it was reported as not run, or
+ * is reported as not run after it ran; or an answer belongs to another call.
+ *
+ * An agent, a caller and a connection are identified by their index. Functions
+ * that take an agent's index do nothing if the agent does not run, unless
+ * stated otherwise.
  */
 
 #include "damaskyard/agent.h"
@@ -23,28 +27,28 @@
 #define FAKE_CANCEL 0xffff /* of the public cancellation program */
 #define FAKE_SLOTS 2
 
-/* What a target does with the call on a connection. */
+/* The reply of a target to the call on a connection. */
 typedef enum fake_reply {
 	FAKE_OK,
-	FAKE_GARBAGE,	   /* bytes that are no reply */
-	FAKE_WRONG_XID,	   /* a late answer to another call */
+	FAKE_GARBAGE,	   /* not an RPC reply */
+	FAKE_WRONG_XID,	   /* as a late answer to another call */
 	FAKE_PROG_UNAVAIL, /* without a verdict */
-	FAKE_SHED,	   /* with the verdict not run; it did not run */
+	FAKE_SHED,	   /* with the verdict "not run", which is true */
 	FAKE_DENIED,
 	FAKE_SYSTEM_ERR,
-	FAKE_LARGE, /* more than a datagram holds */
+	FAKE_LARGE, /* exceeds a datagram */
 	FAKE_REPLIES
 } fake_reply_t;
 
 typedef struct fake_world fake_world_t;
 
 typedef struct fake_link {
-	int open; /* asked for */
+	int open; /* requested by the agent */
 	int up;
 	int busy;
-	int probed; /* has a NULL call of the agent's own */
+	int probed; /* the NULL call of the agent is not answered yet */
 	uint32_t target_xid;
-	uint32_t id; /* of the cancel link: the xid that is meant */
+	uint32_t id; /* on the cancel link: the xid to cancel */
 } fake_link_t;
 
 typedef struct fake_agent {
@@ -55,11 +59,11 @@
 	unsigned index;
 	uint64_t incarnation;
 	uint64_t target_incarnation;
-	unsigned seen;	/* of the log of members */
-	int announcing; /* its target lives and takes connections */
+	unsigned seen;	/* entries of the log of members */
+	int announcing; /* its target runs and accepts connections */
 	int left;
 	int refuse_sends;
-	int frozen; /* its target takes connections and answers nothing */
+	int frozen; /* its target accepts connections but does not answer */
 	fake_link_t links[DY_AGENT_LINKS];
 	char name[8];
 } fake_agent_t;
@@ -69,18 +73,18 @@
 	unsigned caller;
 	uint32_t procedure;
 	unsigned runs;
-	int not_run; /* it was said so */
+	int not_run; /* the caller was told so */
 	int answered;
-	dy_verdict_t verdict; /* latest */
+	dy_verdict_t verdict; /* of the last answer, as the fields below */
 	dy_reason_t reason;
 	uint32_t retry_ms;
 	uint32_t status;
 	unsigned outcomes;
-	uint32_t meant; /* FAKE_CANCEL: the call's id */
+	uint32_t meant; /* FAKE_CANCEL: id of the call to cancel */
 	uint64_t sent_us;
 	uint8_t bytes[256];
 	size_t len;
-	dy_token_t token; /* that it carries */
+	dy_token_t token; /* the token in bytes, decoded */
 } fake_call_t;
 
 typedef struct fake_caller {
@@ -98,59 +102,74 @@
 	fake_caller_t callers[FAKE_CALLERS];
 	fake_call_t calls[FAKE_CALLS];
 	unsigned call_count;
-	GQueue mail;	    /* between agents, lost when a minute old */
-	GPtrArray *members; /* control's log, of dy_member_t */
+	GQueue mail;	    /* between agents; dropped after a minute */
+	GPtrArray *members; /* control's log: dy_member_t, oldest first */
 	unsigned bounces;
 	dy_reason_t bounce_reason;
 	dy_refusal_t cancel_result;
 	int has_cancel_result;
 };
 
+/* Create a world without a running agent, or free it. */
 fake_world_t *fake_world_create(void);
 void fake_world_destroy(fake_world_t *world);
 
-/* Start an agent and its target; returns when it serves. */
+/* Start an agent, or restart it, with its target; returns when it serves. */
 void world_start(fake_world_t *world, unsigned index);
-/* End an agent's process without warning. */
+/* Kill an agent's process. */
 void world_kill(fake_world_t *world, unsigned index);
+/* Send one announcement of the target to its agent, which must run. */
 void world_announce(fake_world_t *world, unsigned index, int draining);
-/* Give an agent all that control's log holds. */
+/* Pass all new entries of control's log to an agent. */
 void world_poll(fake_world_t *world, unsigned index);
-/* Let time pass; targets that announce go on announcing. */
+/* Advance the clock by ms. Running targets announce themselves meanwhile. */
 void world_pass(fake_world_t *world, unsigned ms);
 
-/* Deliver or lose the oldest message between agents. Returns 0 if none. */
+/*
+ * Deliver, drop, duplicate or move to the end of the queue the oldest message
+ * between agents. The duplicate goes to the end. Returns 0 if there is none.
+ */
 int world_deliver(fake_world_t *world);
 int world_lose(fake_world_t *world);
 int world_double(fake_world_t *world);
 int world_reorder(fake_world_t *world);
-/* Deliver, poll and let time pass until nothing more happens. */
+/* Deliver, poll, answer calls and advance the clock for 2 s in 40 steps. */
 void world_settle(fake_world_t *world);
 
-/* Make a call with the caller's token, if it has one. Returns its id. */
+/* Make a call with the caller's token, if it has one. Returns the call's id. */
 uint32_t world_call(fake_world_t *world, unsigned index, unsigned caller,
 		    uint32_t procedure);
-/* Send the very bytes again, to any agent. */
+/* Send the same bytes of a call again, to any agent. */
 void world_copy(fake_world_t *world, unsigned index, uint32_t id);
+/* Send a cancellation of the call with this id. */
 void world_cancel(fake_world_t *world, unsigned index, uint32_t id);
-/* NULL, by which the caller gets a token from that agent. */
+/* Send NULL without a token; the caller gets a token from that agent. */
 void world_open(fake_world_t *world, unsigned index, unsigned caller);
 
-/* The target answers on that connection. Returns 0 if it has no call. */
+/*
+ * Let the target answer on that connection. Returns 0 if the connection has no
+ * call or the target does not answer.
+ */
 int world_answer(fake_world_t *world, unsigned index, unsigned link,
 		 fake_reply_t reply);
+/* Let the target answer all its calls with FAKE_OK. */
 void world_answer_all(fake_world_t *world, unsigned index);
-/* The target closes that connection. */
+/* Let the target close that connection. */
 void world_hang_up(fake_world_t *world, unsigned index, unsigned link);
+/* Let the target answer the cancellation that it has, if any. */
 void world_answer_cancel(fake_world_t *world, unsigned index, int granted);
-/* The target starts anew. */
+/* Restart the target of an agent, which must run. */
 void world_restart_target(fake_world_t *world, unsigned index);
 
-/* Where a balancer that knows control's whole log sends a call. */
+/*
+ * Returns the agent to which a balancer that knows control's whole log sends a
+ * call with this token.
+ */
 unsigned world_route(const fake_world_t *world, const dy_token_t *token);
 
-/* The agent whose number stands in the caller's token. */
+/* Returns the agent that the caller's token names. */
 unsigned world_owner(const fake_world_t *world, unsigned caller);
+/* Returns the value of a counter of an agent, which must run. */
 uint64_t world_counter(const fake_world_t *world, unsigned index,
 		       const char *name);
 
--- a/tests/fake_agents_calls.c
+++ b/tests/fake_agents_calls.c
@@ -1,6 +1,4 @@
-/*
- * What callers and targets of the fake world do: calls, copies, answers.
- */
+/* The callers and targets of fake_agents.h. */
 
 #include "fake_agents_private.h"
 
@@ -45,9 +43,9 @@
 	return dy_rpc_write_call(call, out, cap);
 }
 
-/* Enter a call into the account of calls. */
-static uint32_t enter_call(fake_world_t *world, unsigned caller,
-			   dy_rpc_call_t *call)
+/* Add a call to world->calls. Returns its id. */
+static uint32_t add_call(fake_world_t *world, unsigned caller,
+			 dy_rpc_call_t *call)
 {
 	uint32_t id = world->call_count++;
 	fake_call_t *entry = &world->calls[id];
@@ -72,7 +70,7 @@
 			       .procedure = procedure,
 			       .args = (uint8_t *)&word,
 			       .args_len = 4 };
-	uint32_t id = enter_call(world, caller, &call);
+	uint32_t id = add_call(world, caller, &call);
 
 	world_copy(world, index, id);
 	return id;
@@ -96,7 +94,7 @@
 	uint32_t id;
 
 	world->has_cancel_result = 0;
-	id = enter_call(world, world->calls[meant].caller, &call);
+	id = add_call(world, world->calls[meant].caller, &call);
 	world->calls[id].meant = meant;
 	world_copy(world, index, id);
 }
@@ -134,25 +132,25 @@
 	return dy_rpc_write_reply(&reply, out, cap);
 }
 
-int world_answer(fake_world_t *world, unsigned index, unsigned at,
+int world_answer(fake_world_t *world, unsigned index, unsigned link_index,
 		 fake_reply_t kind)
 {
 	static uint8_t out[DY_DATAGRAM_BYTES + DY_RPC_MAX_HEADER_BYTES];
 	fake_agent_t *agent = &world->agents[index];
-	fake_link_t *link = &agent->links[at];
+	fake_link_t *link = &agent->links[link_index];
 	size_t len;
 
 	if (!agent->agent || !link->busy || agent->frozen ||
-	    at == DY_AGENT_CANCEL_LINK)
+	    link_index == DY_AGENT_CANCEL_LINK)
 		return 0;
 	link->busy = 0;
-	/* A target that sheds did not run what it was sent. */
+	/* A target that sheds a call has not run it. */
 	if (kind == FAKE_SHED)
 		world->calls[link->id].runs--;
 	len = write_reply(link, kind, out, sizeof(out));
 	if (kind == FAKE_GARBAGE)
 		memset(out, 0xff, len);
-	dy_agent_link_receive(agent->agent, at, out, len);
+	dy_agent_link_receive(agent->agent, link_index, out, len);
 	return 1;
 }
 
@@ -175,7 +173,7 @@
 	dy_agent_link_down(agent->agent, link);
 }
 
-/* A target can only say of a call that it has that it will not run it. */
+/* A target can grant the cancellation only of a call that it has. */
 static int revoke_run(fake_world_t *world, fake_agent_t *agent, uint32_t xid)
 {
 	fake_link_t *link;
--- a/tests/fake_agents_private.h
+++ b/tests/fake_agents_private.h
@@ -1,17 +1,17 @@
 #ifndef DAMASKYARD_FAKE_AGENTS_PRIVATE_H
 #define DAMASKYARD_FAKE_AGENTS_PRIVATE_H
 
-/* What the two halves of the fake world share. */
+/* Internals shared by fake_agents.c and fake_agents_calls.c. */
 
 #include "fake_agents.h"
 
-/* Of the service in the fake document. */
+/* Program number of the service in the fake document. */
 #define PROGRAM 0x2A000001
 
-/* Say which promise was broken for which call, and abort. */
-void world_fail(const char *what, uint32_t id) __attribute__((noreturn));
+/* Print which invariant was violated for which call, and abort. */
+void world_violation(const char *what, uint32_t id) __attribute__((noreturn));
 
-/* The address of an agent by its index. */
+/* Write the address of the agent with this index to *address. */
 void world_address(dy_address_t *address, unsigned index);
 
 #endif
--- a/tests/fake_cluster.c
+++ b/tests/fake_cluster.c
@@ -9,19 +9,19 @@
 #include <string.h>
 #include <sys/wait.h>
 
-/* Two a control and balancer and agent, and some to spare. */
-#define PORTS 32
+/* Two ports for each control, balancer and agent, and some spare ones. */
+#define PORT_COUNT 32
 
 struct fake_cluster {
 	char *folder;
 	char *build;
-	char *key;
+	char *key_file;
 	char *controls;
 	char *peers;
-	unsigned ports[PORTS];
+	unsigned ports[PORT_COUNT];
 	unsigned ports_used;
-	unsigned document;     /* number of the one in force */
-	GHashTable *processes; /* of fake_process_t, by name */
+	unsigned document_number; /* number of the one in force */
+	GHashTable *processes;	  /* fake_process_t by name */
 };
 
 static fake_process_t *find(fake_cluster_t *cluster, const char *name)
@@ -44,11 +44,11 @@
 
 static char *free_address(fake_cluster_t *cluster)
 {
-	ck_assert_uint_lt(cluster->ports_used, PORTS);
+	ck_assert_uint_lt(cluster->ports_used, PORT_COUNT);
 	return address(cluster->ports[cluster->ports_used++]);
 }
 
-/* command is split at blanks; no word of it holds one. */
+/* command is split at spaces; no word of it may contain one. */
 static void start(fake_cluster_t *cluster, const char *name,
 		  const char *command)
 {
@@ -87,7 +87,7 @@
 
 int fake_cluster_join(fake_cluster_t *cluster, const char *name)
 {
-	return fake_process_join(find(cluster, name), FAKE_WAIT_MS);
+	return fake_process_join(find(cluster, name), FAKE_TIMEOUT_MS);
 }
 
 void fake_cluster_kill(fake_cluster_t *cluster, const char *name)
@@ -106,7 +106,7 @@
 		      "%s ended with wait status %d", name, status);
 }
 
-static void erase(const char *path)
+static void remove_tree(const char *path)
 {
 	GDir *folder = g_dir_open(path, 0, NULL);
 	const char *name;
@@ -114,7 +114,7 @@
 	while (folder && (name = g_dir_read_name(folder))) {
 		char *child = g_build_filename(path, name, NULL);
 
-		erase(child);
+		remove_tree(child);
 		g_free(child);
 	}
 	if (folder)
@@ -122,23 +122,23 @@
 	remove(path);
 }
 
-void fake_cluster_erase(fake_cluster_t *cluster, const char *name)
+void fake_cluster_erase_data(fake_cluster_t *cluster, const char *name)
 {
 	char *path = g_strdup_printf("%s/data-%s", cluster->folder, name);
 
-	erase(path);
+	remove_tree(path);
 	g_free(path);
 }
 
 void fake_cluster_await(fake_cluster_t *cluster, const char *what,
 			fake_condition_cb_t condition, void *context)
 {
-	gint64 end_us = g_get_monotonic_time() + FAKE_WAIT_MS * 1000LL;
+	gint64 end_us = g_get_monotonic_time() + FAKE_TIMEOUT_MS * 1000LL;
 
 	while (!condition(cluster, context)) {
 		ck_assert_msg(g_get_monotonic_time() < end_us,
 			      "%s: not within %d ms; see %s", what,
-			      FAKE_WAIT_MS, cluster->folder);
+			      FAKE_TIMEOUT_MS, cluster->folder);
 		g_usleep(20000);
 	}
 }
@@ -146,7 +146,7 @@
 int fake_cluster_wait(fake_cluster_t *cluster, const char *name, char **output)
 {
 	fake_process_t *process = find(cluster, name);
-	int status = fake_process_join(process, FAKE_WAIT_MS);
+	int status = fake_process_join(process, FAKE_TIMEOUT_MS);
 
 	if (output)
 		*output = fake_process_output(process);
@@ -158,14 +158,14 @@
 	return cluster->controls;
 }
 
-unsigned *fake_cluster_document(fake_cluster_t *cluster)
+unsigned *fake_cluster_document_number(fake_cluster_t *cluster)
 {
-	return &cluster->document;
+	return &cluster->document_number;
 }
 
-const char *fake_cluster_key(const fake_cluster_t *cluster)
+const char *fake_cluster_key_file(const fake_cluster_t *cluster)
 {
-	return cluster->key;
+	return cluster->key_file;
 }
 
 static void load_ports(fake_cluster_t *cluster)
@@ -174,10 +174,11 @@
 	char **lines;
 	unsigned i;
 
-	fake_cluster_spawn(cluster, "ports", "standin/ports --count %d", PORTS);
+	fake_cluster_spawn(cluster, "ports", "standin/ports --count %d",
+			   PORT_COUNT);
 	ck_assert_int_eq(fake_cluster_wait(cluster, "ports", &output), 0);
 	lines = g_strsplit(output, "\n", -1);
-	for (i = 0; i < PORTS; i++)
+	for (i = 0; i < PORT_COUNT; i++)
 		cluster->ports[i] = atoi(lines[i]);
 	g_strfreev(lines);
 	g_free(output);
@@ -209,8 +210,11 @@
 	return fake_process_value(find(cluster, name), "address");
 }
 
-/* Every balancer's address of a service, or NULL if one has none yet. */
-static char *balancers_of(fake_cluster_t *cluster, const char *service)
+/*
+ * Returns the addresses of all balancers for a service, separated by commas, or
+ * NULL if a balancer does not listen yet.
+ */
+static char *list_balancers(fake_cluster_t *cluster, const char *service)
 {
 	GString *list = g_string_new(NULL);
 	unsigned i;
@@ -220,7 +224,8 @@
 		char *found;
 
 		g_snprintf(name, sizeof(name), "balancer%u", i);
-		found = fake_process_listening(find(cluster, name), service);
+		found = fake_process_service_address(find(cluster, name),
+						     service);
 		if (!found) {
 			g_string_free(list, TRUE);
 			return NULL;
@@ -231,13 +236,13 @@
 	return g_string_free(list, FALSE);
 }
 
-static int write_balancers(fake_cluster_t *cluster, void *context)
+static int write_balancer_files(fake_cluster_t *cluster, void *context)
 {
 	static const char *const services[] = { "readings", "maps" };
 	unsigned i;
 
 	for (i = 0; i < G_N_ELEMENTS(services); i++) {
-		char *list = balancers_of(cluster, services[i]);
+		char *list = list_balancers(cluster, services[i]);
 		char *path = g_strdup_printf("%s/balancers-%s", cluster->folder,
 					     services[i]);
 
@@ -251,9 +256,10 @@
 	return 1;
 }
 
-void fake_cluster_point_fabrics(fake_cluster_t *cluster)
+void fake_cluster_update_fabrics(fake_cluster_t *cluster)
 {
-	fake_cluster_await(cluster, "balancers listen", write_balancers, NULL);
+	fake_cluster_await(cluster, "balancers listen", write_balancer_files,
+			   NULL);
 }
 
 static void start_controls(fake_cluster_t *cluster)
@@ -279,7 +285,7 @@
 			"--listen %s --peers %s --key-file %s "
 			"--key-distribute-s 1",
 			i + 1, cluster->folder, name, addresses[i],
-			cluster->peers, cluster->key);
+			cluster->peers, cluster->key_file);
 		g_free(addresses[i]);
 	}
 }
@@ -298,12 +304,12 @@
 			"damaskyard balancer --name b%u --environment "
 			"production --controls %s --listen %s --bind-host "
 			"127.0.0.1 --domain d%u --key-file %s",
-			i, cluster->controls, listen, i, cluster->key);
+			i, cluster->controls, listen, i, cluster->key_file);
 		g_free(listen);
 	}
 }
 
-/* suffix tells the names of this target's processes: "1", "-maps1". */
+/* suffix is part of the names of the target's processes: "1", "-maps1". */
 static void start_target(fake_cluster_t *cluster, const char *service,
 			 const char *suffix, unsigned domain, char *target)
 {
@@ -317,7 +323,7 @@
 		"--controls %s --listen %s --announce %s --domain d%u "
 		"--key-file %s",
 		suffix, cluster->controls, listen, announce, domain,
-		cluster->key);
+		cluster->key_file);
 	g_free(name);
 	name = g_strdup_printf("announce%s", suffix);
 	fake_cluster_spawn(
@@ -356,7 +362,7 @@
 static void start_fabrics(fake_cluster_t *cluster, unsigned seed, int lose,
 			  int duplicate)
 {
-	fake_cluster_point_fabrics(cluster);
+	fake_cluster_update_fabrics(cluster);
 	fake_cluster_spawn(
 		cluster, "fabric-readings",
 		"standin/fabric --balancers-file %s/balancers-readings "
@@ -386,8 +392,8 @@
 	ck_assert_ptr_nonnull(cluster->folder);
 	cluster->processes = g_hash_table_new_full(g_str_hash, g_str_equal,
 						   g_free, destroy_process);
-	cluster->key = fake_cluster_path(cluster, "key");
-	g_file_set_contents(cluster->key,
+	cluster->key_file = fake_cluster_path(cluster, "key");
+	g_file_set_contents(cluster->key_file,
 			    "000102030405060708090a0b0c0d0e0f"
 			    "101112131415161718191a1b1c1d1e1f\n",
 			    -1, NULL);
@@ -404,10 +410,10 @@
 {
 	g_hash_table_destroy(cluster->processes);
 	if (!g_getenv("DY_KEEP_FOLDER"))
-		erase(cluster->folder);
+		remove_tree(cluster->folder);
 	g_free(cluster->folder);
 	g_free(cluster->build);
-	g_free(cluster->key);
+	g_free(cluster->key_file);
 	g_free(cluster->controls);
 	g_free(cluster->peers);
 	g_free(cluster);
--- a/tests/fake_operator.c
+++ b/tests/fake_operator.c
@@ -13,7 +13,7 @@
 		g_string_append_printf(command, " %s", word);
 	fake_cluster_spawn(cluster, name, "%s --controls %s --key-file %s",
 			   command->str, fake_cluster_controls(cluster),
-			   fake_cluster_key(cluster));
+			   fake_cluster_key_file(cluster));
 	g_string_free(command, TRUE);
 }
 
@@ -58,7 +58,7 @@
 	return path;
 }
 
-static void must(fake_cluster_t *cluster, int code, const char *what)
+static void assert_success(fake_cluster_t *cluster, int code, const char *what)
 {
 	char *log = fake_cluster_log(cluster, "operator");
 
@@ -68,22 +68,26 @@
 
 void fake_operator_change_document(fake_cluster_t *cluster)
 {
-	unsigned *number = fake_cluster_document(cluster);
+	unsigned *number = fake_cluster_document_number(cluster);
 	char *path = fake_operator_write_document(cluster, 64 + *number);
 
-	must(cluster,
-	     fake_operator_run(cluster, NULL, "submit", path, "--environment",
-			       "trial", "--timeout-ms", "20000", NULL),
-	     "submit");
-	must(cluster,
-	     fake_operator_run(cluster, NULL, "promote", "--timeout-ms",
-			       "20000", NULL),
-	     "promote");
+	assert_success(cluster,
+		       fake_operator_run(cluster, NULL, "submit", path,
+					 "--environment", "trial",
+					 "--timeout-ms", "20000", NULL),
+		       "submit");
+	assert_success(cluster,
+		       fake_operator_run(cluster, NULL, "promote",
+					 "--timeout-ms", "20000", NULL),
+		       "promote");
 	++*number;
 	g_free(path);
 }
 
-/* The line of status that begins so and holds word, to be freed, or NULL. */
+/*
+ * Returns the line of status that begins with start and contains word, or NULL.
+ * The caller frees it.
+ */
 static char *find_line(fake_cluster_t *cluster, const char *start,
 		       const char *word)
 {
@@ -116,8 +120,8 @@
 	if (counts)
 		sscanf(counts, " in_force=%u/%u", &having, &members);
 	g_free(line);
-	ck_assert_uint_le(number, *fake_cluster_document(cluster));
-	return number == *fake_cluster_document(cluster) && members &&
+	ck_assert_uint_le(number, *fake_cluster_document_number(cluster));
+	return number == *fake_cluster_document_number(cluster) && members &&
 	       having == members;
 }
 
@@ -127,7 +131,7 @@
 			   NULL);
 }
 
-/* words: how a line of status begins, and what it must hold. */
+/* words: the start of a line of status, and a text that it contains. */
 static int has_line(fake_cluster_t *cluster, void *words)
 {
 	char *const *start_and_word = words;
@@ -150,7 +154,7 @@
 	g_free(word);
 }
 
-static int follows_leader(fake_cluster_t *cluster, void *control)
+static int has_leader(fake_cluster_t *cluster, void *control)
 {
 	char *log = fake_cluster_log(cluster, control);
 	int found = g_regex_match_simple(
@@ -160,14 +164,14 @@
 	return found;
 }
 
-/* A leader may still list what the control was before its disk was lost. */
+/* A leader may still list the control as it was before it lost its disk. */
 void fake_operator_await_voter(fake_cluster_t *cluster, const char *control)
 {
 	char *start = g_strdup_printf("control id=%s ",
 				      strpbrk(control, "0123456789"));
 	char *words[] = { start, " role=voter lag=0 " };
 
-	fake_cluster_await(cluster, "a leader for it", follows_leader,
+	fake_cluster_await(cluster, "a leader for it", has_leader,
 			   (char *)control);
 	fake_cluster_await(cluster, control, has_line, words);
 	g_free(start);
@@ -175,7 +179,8 @@
 
 void fake_operator_drain(fake_cluster_t *cluster, const char *member)
 {
-	must(cluster, fake_operator_run(cluster, NULL, "drain", member, NULL),
-	     "drain");
+	assert_success(cluster,
+		       fake_operator_run(cluster, NULL, "drain", member, NULL),
+		       "drain");
 	fake_operator_await_state(cluster, member, "left");
 }
--- a/tests/fake_process.c
+++ b/tests/fake_process.c
@@ -14,7 +14,7 @@
 	char **argv;
 	char *out;
 	char *log;
-	pid_t pid; /* 0: does not run */
+	pid_t pid; /* 0 if it does not run */
 };
 
 fake_process_t *fake_process_create(const char *folder, const char *name,
@@ -51,7 +51,7 @@
 	close(file);
 }
 
-static void set_aside(const char *path)
+static void rename_old_file(const char *path)
 {
 	char *old = g_strconcat(path, ".old", NULL);
 
@@ -62,15 +62,15 @@
 void fake_process_start(fake_process_t *process)
 {
 	ck_assert_msg(!process->pid, "%s runs already", process->name);
-	/* A reader must not take what an earlier run left for this one's. */
-	set_aside(process->out);
-	set_aside(process->log);
+	/* A reader must not mistake the output of an earlier run for this. */
+	rename_old_file(process->out);
+	rename_old_file(process->log);
 	process->pid = fork();
 	ck_assert_int_ge(process->pid, 0);
 	if (process->pid)
 		return;
 	prctl(PR_SET_PDEATHSIG, SIGKILL);
-	/* libtirpc's client leaks the verifier of each refusal. */
+	/* The client code of libtirpc leaks the verifier of each refusal. */
 	if (strstr(process->argv[0], "/standin/"))
 		g_setenv("ASAN_OPTIONS", "detect_leaks=0", TRUE);
 	redirect(process->out, STDOUT_FILENO);
@@ -85,23 +85,23 @@
 	ck_assert_int_eq(kill(process->pid, number), 0);
 }
 
-int fake_process_join(fake_process_t *process, unsigned wait_ms)
+int fake_process_join(fake_process_t *process, unsigned timeout_ms)
 {
-	gint64 end_us = g_get_monotonic_time() + wait_ms * 1000LL;
+	gint64 end_us = g_get_monotonic_time() + timeout_ms * 1000LL;
 	int status = 0;
 
 	ck_assert_msg(process->pid, "%s does not run", process->name);
 	while (!waitpid(process->pid, &status, WNOHANG)) {
 		ck_assert_msg(g_get_monotonic_time() < end_us,
 			      "%s has not ended within %u ms; see %s",
-			      process->name, wait_ms, process->log);
+			      process->name, timeout_ms, process->log);
 		g_usleep(5000);
 	}
 	process->pid = 0;
 	return status;
 }
 
-static char *load(const char *path)
+static char *read_file(const char *path)
 {
 	char *text = NULL;
 
@@ -112,15 +112,15 @@
 
 char *fake_process_output(const fake_process_t *process)
 {
-	return load(process->out);
+	return read_file(process->out);
 }
 
 char *fake_process_log(const fake_process_t *process)
 {
-	return load(process->log);
+	return read_file(process->log);
 }
 
-/* The value of key in a line, only up to the next blank. */
+/* Returns the value of key in a line, up to the next space, or NULL. */
 static char *value_in(const char *line, const char *key)
 {
 	char **words = g_strsplit(line, " ", -1);
@@ -137,7 +137,7 @@
 
 char *fake_process_value(const fake_process_t *process, const char *key)
 {
-	char *text = load(process->out);
+	char *text = read_file(process->out);
 	char **lines = g_strsplit(text, "\n", -1);
 	char *value = NULL;
 	unsigned i;
@@ -149,10 +149,11 @@
 	return value;
 }
 
-char *fake_process_listening(const fake_process_t *process, const char *service)
+char *fake_process_service_address(const fake_process_t *process,
+				   const char *service)
 {
 	char *word = g_strdup_printf(" service=%s ", service);
-	char *text = load(process->log);
+	char *text = read_file(process->log);
 	char **lines = g_strsplit(text, "\n", -1);
 	char *value = NULL;
 	unsigned i;
--- a/tests/fake_stations.c
+++ b/tests/fake_stations.c
@@ -8,14 +8,14 @@
 
 typedef struct progress {
 	unsigned answered[FAKE_STATIONS];
-	unsigned wanted;
+	unsigned needed;
 } progress_t;
 
-/* Runs of a few short flows before every target must have had one. */
+/* Maximum number of short runs until every target has stored a reading. */
 #define WARM_UP_RUNS 100
 
-static void spawn_stations(fake_cluster_t *cluster, const char *prefix,
-			   unsigned stations, unsigned readings)
+static void start_caller(fake_cluster_t *cluster, const char *prefix,
+			 unsigned stations, unsigned readings)
 {
 	char *address =
 		fake_cluster_value(cluster, "fabric-readings", "address");
@@ -48,7 +48,10 @@
 	return found == FAKE_TARGETS;
 }
 
-/* A flow opened while one agent is known would bring all the rest there. */
+/*
+ * Runs short flows until every target has had one. Otherwise flows that open
+ * while only one agent is known would all go to that agent.
+ */
 static void warm_up(fake_cluster_t *cluster)
 {
 	unsigned run;
@@ -57,7 +60,7 @@
 		char *prefix = g_strdup_printf("warm%u-", run);
 
 		ck_assert_uint_lt(run, WARM_UP_RUNS);
-		spawn_stations(cluster, prefix, FAKE_TARGETS, 1);
+		start_caller(cluster, prefix, FAKE_TARGETS, 1);
 		ck_assert_int_eq(fake_cluster_wait(cluster, "caller", NULL), 0);
 		g_free(prefix);
 	}
@@ -66,7 +69,7 @@
 void fake_stations_start(fake_cluster_t *cluster)
 {
 	warm_up(cluster);
-	spawn_stations(cluster, "s", FAKE_STATIONS, 100000);
+	start_caller(cluster, "s", FAKE_STATIONS, 100000);
 }
 
 static void count_answered(fake_cluster_t *cluster,
@@ -101,21 +104,21 @@
 
 	count_answered(cluster, answered);
 	for (i = 0; i < FAKE_STATIONS; i++)
-		if (answered[i] < progress->answered[i] + progress->wanted)
+		if (answered[i] < progress->answered[i] + progress->needed)
 			return 0;
 	return 1;
 }
 
 void fake_stations_await(fake_cluster_t *cluster, unsigned readings)
 {
-	progress_t progress = { .wanted = readings };
+	progress_t progress = { .needed = readings };
 
 	count_answered(cluster, progress.answered);
 	fake_cluster_await(cluster, "answers to every station", has_progress,
 			   &progress);
 }
 
-/* The value of key in a line of key=value words. */
+/* Returns the value of key in a line of key=value words. */
 static unsigned value_of(const char *line, const char *key)
 {
 	char **words = g_strsplit_set(line, " \n", -1);
@@ -139,7 +142,7 @@
 {
 	account->sent = value_of(line, "sent");
 	account->answered = value_of(line, "answered");
-	account->doubled = value_of(line, "stored_twice");
+	account->stored_twice = value_of(line, "stored_twice");
 	account->lost = value_of(line, "lost");
 	account->wrong = value_of(line, "mismatched") +
 			 value_of(line, "refused_but_stored") +
@@ -150,7 +153,7 @@
 
 static void load_broken(fake_account_t *account, const char *line)
 {
-	account->broken = value_of(line, "broken_flows");
+	account->broken_flows = value_of(line, "broken_flows");
 	account->broken_refused = value_of(line, "broken_refused");
 	account->broken_token = value_of(line, "broken_token");
 	account->broken_error = value_of(line, "broken_error");
--- a/tests/fake_suite.h
+++ b/tests/fake_suite.h
@@ -1,15 +1,14 @@
 #ifndef DAMASKYARD_FAKE_SUITE_H
 #define DAMASKYARD_FAKE_SUITE_H
 
-/*
- * What every test program's main() does: run one suite of test functions,
- * print check's own closing line, and say by the exit code whether all
- * passed.
- */
+/* The common main() of the test programs. */
 
 #include <check.h>
 
-/* tests ends with NULL. Returns the exit code. */
+/*
+ * Run a suite of test functions and print the summary line of check. tests ends
+ * with NULL. Returns the exit code: EXIT_SUCCESS if all tests passed.
+ */
 int fake_suite_run(const char *name, const TTest *const *tests);
 
 #endif
--- a/tests/test_agent.c
+++ b/tests/test_agent.c
@@ -13,7 +13,7 @@
 	return world;
 }
 
-START_TEST(call_runs_once_and_its_answer_comes_back)
+START_TEST(runs_call_once_and_returns_answer)
 {
 	fake_world_t *world = create_open();
 	uint32_t id = world_call(world, 0, 0, FAKE_SUBMIT);
@@ -26,12 +26,12 @@
 END_TEST
 
 /*
- * A station's answer is lost, and its client sends the same datagram again,
- * by another balancer, first while the target still works and then after it
- * has answered. The reading would be stored three times. Cause: a datagram
- * says nothing of whether it came before.
+ * Guards against a reading that is stored more than once. The answer is lost,
+ * and the station retransmits the same datagram through another balancer:
+ * once while the target works on the call, and once after it has answered.
+ * The datagram itself does not show that it is a duplicate.
  */
-START_TEST(copies_never_run_again)
+START_TEST(does_not_rerun_duplicate)
 {
 	fake_world_t *world = create_open();
 	uint32_t id = world_call(world, 0, 0, FAKE_SUBMIT);
@@ -49,10 +49,10 @@
 END_TEST
 
 /*
- * A flow's first datagram arrives twice. Two sessions would be open, and the
- * caller's calls would be told apart from its copies by neither.
+ * Guards against two sessions for one flow, if its first datagram arrives
+ * twice. Neither of them would recognize duplicates of the caller's calls.
  */
-START_TEST(doubled_opening_makes_one_session)
+START_TEST(opens_one_session_for_duplicate_opening)
 {
 	fake_world_t *world = create_open();
 	uint64_t session = world->callers[0].fields.session;
@@ -64,7 +64,7 @@
 }
 END_TEST
 
-START_TEST(submission_without_token_is_too_weak)
+START_TEST(refuses_submission_without_token_as_too_weak)
 {
 	fake_world_t *world = fake_world_create();
 	uint32_t id;
@@ -81,8 +81,8 @@
 }
 END_TEST
 
-/* What a target's reply comes to, for a call that was handed to it. */
-START_TEST(each_reply_has_its_verdict)
+/* The verdict and reason of a call that was sent, by the target's reply. */
+START_TEST(maps_each_target_reply_to_verdict)
 {
 	static const struct {
 		fake_reply_t reply;
@@ -118,12 +118,12 @@
 END_TEST
 
 /*
- * The target takes too long; the caller is told that its edit may have run.
- * The late answer then comes in on the same connection, on which the next
- * call waits: a cook would see another dish's price. The connection must be
- * closed, so that nothing of it is read any more.
+ * Guards against a late answer that reaches another call. The target misses
+ * the deadline, and the caller is told that the call may have run. The late
+ * answer then arrives on the connection on which the next call waits. So the
+ * connection must be closed at the deadline.
  */
-START_TEST(late_answer_reaches_no_other_call)
+START_TEST(closes_connection_after_deadline)
 {
 	fake_world_t *world = create_open();
 	uint32_t id = world_call(world, 0, 0, FAKE_SUBMIT);
@@ -140,11 +140,11 @@
 END_TEST
 
 /*
- * The target dies with one submission in its hands and others waiting. The
- * one may have run; those that waited have not, and a late copy of one that
- * was refused must not run once the target is back.
+ * The target dies while one submission is with it and others are queued. The
+ * one may have run; the queued ones have not run. A late copy of a refused one
+ * must not run after the target is back.
  */
-START_TEST(target_lost_before_and_after_sending)
+START_TEST(distinguishes_sent_and_unsent_calls_of_lost_target)
 {
 	fake_world_t *world = create_open();
 	uint32_t sent = world_call(world, 0, 0, FAKE_SUBMIT);
@@ -170,7 +170,7 @@
 }
 END_TEST
 
-START_TEST(send_that_hands_over_nothing_is_not_run)
+START_TEST(reports_not_run_after_failed_send)
 {
 	fake_world_t *world = create_open();
 	uint32_t id;
@@ -184,13 +184,13 @@
 END_TEST
 
 /*
- * A target freezes, and its announcements go on. Its kernel takes every new
- * connection, so that each reading after the first would wait out its
- * deadline and be told that it may have run: a night of doubtful readings.
- * Only what the target had may have run; the rest is refused as not run, and
- * new flows go elsewhere.
+ * Guards against a frozen target that makes every call end as "may have run".
+ * Its announcements go on and its kernel accepts every new connection, so that
+ * each reading would wait until its deadline. Only the calls that the target
+ * had may have run. The others are refused as not run, and new flows are
+ * bounced to other agents.
  */
-START_TEST(frozen_target_gets_no_more_calls)
+START_TEST(sends_no_more_calls_to_frozen_target)
 {
 	fake_world_t *world = create_open();
 	unsigned doubtful = 0;
@@ -217,10 +217,10 @@
 END_TEST
 
 /*
- * A target restarts while a call is with it. Its earlier life's answer must
- * reach nobody, and the call is said to have perhaps run.
+ * A target restarts while it has a call. The answer of its previous
+ * incarnation must reach no caller, and the call may have run.
  */
-START_TEST(restarted_target_closes_every_connection)
+START_TEST(closes_connections_after_target_restart)
 {
 	fake_world_t *world = create_open();
 	uint32_t id = world_call(world, 0, 0, FAKE_SUBMIT);
@@ -237,11 +237,12 @@
 END_TEST
 
 /*
- * An agent dies and its next life gets copies of what the last one ran. It
- * remembers nothing: a reading would be stored twice. It must say that it
- * may have run, and serve pulls under a new session.
+ * Guards against a reading that is stored twice after an agent died. Its next
+ * incarnation has no duplicate request cache and gets copies of calls that the
+ * previous one ran. It must answer that they may have run, and serve
+ * idempotent calls in a new session.
  */
-START_TEST(token_of_a_dead_incarnation_never_runs)
+START_TEST(runs_no_submission_of_dead_incarnation)
 {
 	fake_world_t *world = create_open();
 	uint32_t id = world_call(world, 0, 0, FAKE_SUBMIT);
@@ -261,7 +262,7 @@
 }
 END_TEST
 
-START_TEST(cancel_has_a_verdict_at_each_stage)
+START_TEST(returns_cancel_verdict_at_each_stage)
 {
 	fake_world_t *world = create_open();
 	uint32_t ids[4];
@@ -269,11 +270,11 @@
 
 	for (i = 0; i < 3; i++)
 		ids[i] = world_call(world, 0, 0, FAKE_SUBMIT);
-	world_cancel(world, 0, ids[2]); /* waits for a slot */
+	world_cancel(world, 0, ids[2]); /* queued */
 	ck_assert_int_eq(world->cancel_result.verdict, DY_NOT_RUN);
 	ck_assert_int_eq(world->calls[ids[2]].verdict, DY_NOT_RUN);
 	world_answer(world, 0, 1, FAKE_OK);
-	world_cancel(world, 0, ids[1]); /* has its answer */
+	world_cancel(world, 0, ids[1]); /* answered */
 	ck_assert_int_eq(world->cancel_result.verdict, DY_RAN);
 	world_cancel(world, 0, ids[0]); /* with the target */
 	ck_assert_int_eq(world->has_cancel_result, 0);
@@ -283,7 +284,7 @@
 	world_pass(world, 200);
 	ids[3] = world_call(world, 0, 0, FAKE_SUBMIT);
 	world_cancel(world, 0, ids[3]);
-	world_answer_cancel(world, 0, 0); /* the target goes on */
+	world_answer_cancel(world, 0, 0); /* not granted */
 	ck_assert_int_eq(world->cancel_result.verdict, DY_MAY_HAVE_RUN);
 	world_answer_all(world, 0);
 	ck_assert_int_eq(world->calls[ids[3]].answered, 1);
@@ -292,12 +293,12 @@
 END_TEST
 
 /*
- * The port of a readings target is taken over by a map target, which
- * announces itself to the agent that is still bound to readings. Readings
- * would reach the map service. Nor may a call for another service, or
- * another agent, be served.
+ * Guards against readings that reach the map service. A map target reuses the
+ * port of a readings target and announces itself to the agent that is still
+ * bound to readings. A call for another service or another agent must not be
+ * served either.
  */
-START_TEST(other_services_are_turned_away)
+START_TEST(rejects_other_services)
 {
 	fake_world_t *world = create_open();
 	dy_announcement_t maps = { "maps", "",	  "127.0.0.1:8000",
@@ -322,8 +323,8 @@
 }
 END_TEST
 
-/* Without control's lease sessions go on, and no new one opens. */
-START_TEST(lapsed_lease_keeps_sessions_and_opens_none)
+/* Without a lease of control, sessions go on and no new session is opened. */
+START_TEST(keeps_sessions_and_opens_none_without_lease)
 {
 	fake_world_t *world = create_open();
 	uint32_t id;
@@ -343,20 +344,20 @@
 int main(void)
 {
 	const TTest *const tests[] = {
-		call_runs_once_and_its_answer_comes_back,
-		copies_never_run_again,
-		doubled_opening_makes_one_session,
-		submission_without_token_is_too_weak,
-		each_reply_has_its_verdict,
-		late_answer_reaches_no_other_call,
-		target_lost_before_and_after_sending,
-		send_that_hands_over_nothing_is_not_run,
-		frozen_target_gets_no_more_calls,
-		restarted_target_closes_every_connection,
-		token_of_a_dead_incarnation_never_runs,
-		cancel_has_a_verdict_at_each_stage,
-		other_services_are_turned_away,
-		lapsed_lease_keeps_sessions_and_opens_none,
+		runs_call_once_and_returns_answer,
+		does_not_rerun_duplicate,
+		opens_one_session_for_duplicate_opening,
+		refuses_submission_without_token_as_too_weak,
+		maps_each_target_reply_to_verdict,
+		closes_connection_after_deadline,
+		distinguishes_sent_and_unsent_calls_of_lost_target,
+		reports_not_run_after_failed_send,
+		sends_no_more_calls_to_frozen_target,
+		closes_connections_after_target_restart,
+		runs_no_submission_of_dead_incarnation,
+		returns_cancel_verdict_at_each_stage,
+		rejects_other_services,
+		keeps_sessions_and_opens_none_without_lease,
 		NULL,
 	};
 
--- a/tests/test_commands.c
+++ b/tests/test_commands.c
@@ -1,6 +1,6 @@
 /*
- * Operators' commands of the true binary against a group of three. What is
- * printed and the exit codes are what scripts rely on.
+ * The operator commands of the real binary against a group of three controls.
+ * Scripts depend on the printed lines and the exit codes.
  */
 
 #include <netinet/in.h>
@@ -20,10 +20,10 @@
 #include "fake_suite.h"
 
 #define CONTROLS 3
-#define STOP_WAIT_MS 20000
+#define STOP_TIMEOUT_MS 20000
 
-/* The group is asked so often, with a pause between, for its voters. */
-#define STATUS_TRIES 200
+/* Number of status commands while waiting for the voters, and the interval. */
+#define STATUS_ATTEMPTS 200
 #define STATUS_PAUSE_US 100000
 
 #define DOCUMENT                                         \
@@ -39,8 +39,8 @@
 	fake_process_t *controls[CONTROLS];
 } group_t;
 
-/* Ports that are free together; each is given up again. */
-static void find_ports(unsigned ports[CONTROLS])
+/* Find distinct free ports. They are closed again before use. */
+static void find_free_ports(unsigned ports[CONTROLS])
 {
 	struct sockaddr_in at = { .sin_family = AF_INET };
 	socklen_t len = sizeof(at);
@@ -68,7 +68,7 @@
 	return path;
 }
 
-static group_t *open_group(void)
+static group_t *create_group(void)
 {
 	const char *build = g_getenv("DY_BUILD");
 	group_t *group = g_new0(group_t, 1);
@@ -84,7 +84,7 @@
 	group->key = write_file(group, "key",
 				"00112233445566778899aabbccddeeff"
 				"00112233445566778899aabbccddeeff\n");
-	find_ports(ports);
+	find_free_ports(ports);
 	peers = g_strdup_printf("1=127.0.0.1:%u,2=127.0.0.1:%u,3=127.0.0.1:%u",
 				ports[0], ports[1], ports[2]);
 	group->addresses =
@@ -115,7 +115,7 @@
 		     NULL, NULL, NULL);
 }
 
-static void close_group(group_t *group)
+static void destroy_group(group_t *group)
 {
 	int i;
 
@@ -129,8 +129,9 @@
 	g_free(group);
 }
 
-/* Words after the binary's name, split at blanks. Returns the exit code. */
-static int run(const group_t *group, const char *words, char **out, char **err)
+/* Run the binary with words, split at spaces. Returns the exit code. */
+static int run_command(const group_t *group, const char *words, char **out,
+		       char **err)
 {
 	char *line = g_strdup_printf("%s %s", group->binary, words);
 	char **argv = g_strsplit(line, " ", -1);
@@ -159,14 +160,17 @@
 	return count;
 }
 
-/* Run, and check exit code, what stands in the one line, and its place. */
-static void expect(const group_t *group, const char *words, int code,
-		   const char *part)
+/*
+ * Run a command and check its exit code and that it prints one line with part,
+ * to stdout if the code is 0, else to stderr.
+ */
+static void expect_output(const group_t *group, const char *words, int code,
+			  const char *part)
 {
 	char *out;
 	char *err;
 
-	ck_assert_msg(run(group, words, &out, &err) == code,
+	ck_assert_msg(run_command(group, words, &out, &err) == code,
 		      "\"%s\" printed \"%s\" and \"%s\"", words, out, err);
 	ck_assert_msg(!!strstr(code ? err : out, part), "\"%s\" printed \"%s\"",
 		      words, code ? err : out);
@@ -176,12 +180,7 @@
 	g_free(err);
 }
 
-/*
- * The life of a document. Ann and Bob prepare change 1 at the same time: one
- * is accepted, the other is told who won. Trial's document is promoted, and
- * sent twice it is promoted once. The leader stops meanwhile.
- */
-static unsigned count_parts(const char *text, const char *part)
+static unsigned count_matches(const char *text, const char *part)
 {
 	unsigned count = 0;
 
@@ -191,8 +190,8 @@
 }
 
 /*
- * A group is founded by one control, which takes the others in one after the
- * other. With two voters, one that stops leaves no majority.
+ * One control bootstraps the group and adds the others one by one. Wait until
+ * all vote: with two voters, the loss of one leaves no majority.
  */
 static void await_voters(const group_t *group)
 {
@@ -200,9 +199,9 @@
 	unsigned i;
 	char *out;
 
-	for (i = 0; i < STATUS_TRIES && voters < CONTROLS; i++) {
-		ck_assert_int_eq(run(group, "status", &out, NULL), 0);
-		voters = count_parts(out, " role=voter ");
+	for (i = 0; i < STATUS_ATTEMPTS && voters < CONTROLS; i++) {
+		ck_assert_int_eq(run_command(group, "status", &out, NULL), 0);
+		voters = count_matches(out, " role=voter ");
 		g_free(out);
 		if (voters < CONTROLS)
 			g_usleep(STATUS_PAUSE_US);
@@ -210,9 +209,14 @@
 	ck_assert_uint_eq(voters, CONTROLS);
 }
 
-START_TEST(document_goes_from_trial_to_production)
+/*
+ * Two operators submit change 1 at the same time: one is accepted, the other is
+ * told who won. The document of trial is promoted while the leader stops. A
+ * second promotion changes nothing.
+ */
+START_TEST(promotes_trial_document_to_production)
 {
-	group_t *group = open_group();
+	group_t *group = create_group();
 	char *doc = write_file(group, "doc", DOCUMENT);
 	char *other = write_file(group, "other", DOCUMENT "slots = 9\n");
 	char *submit =
@@ -223,24 +227,25 @@
 	char *submit_wrong = g_strdup_printf("submit %s", wrong);
 	char *out;
 
-	expect(group, "promote", 1, "status=not_found");
-	expect(group, submit, 0,
-	       "result=accepted environment=trial number=1 digest=");
-	expect(group, rival, 1, "status=conflict");
-	expect(group, rival, 1, "winner_operator=ann");
-	expect(group, submit_wrong, 1, "status=malformed");
+	expect_output(group, "promote", 1, "status=not_found");
+	expect_output(group, submit, 0,
+		      "result=accepted environment=trial number=1 digest=");
+	expect_output(group, rival, 1, "status=conflict");
+	expect_output(group, rival, 1, "winner_operator=ann");
+	expect_output(group, submit_wrong, 1, "status=malformed");
 	await_voters(group);
 	fake_process_signal(group->controls[0], SIGTERM);
-	ck_assert_int_eq(fake_process_join(group->controls[0], STOP_WAIT_MS),
+	ck_assert_int_eq(fake_process_join(group->controls[0], STOP_TIMEOUT_MS),
 			 0);
-	expect(group, "promote", 0,
-	       "result=accepted environment=production number=1 digest=");
-	expect(group, "promote", 0, "in force already");
-	expect(group, "promote --number 1", 0, "in force already");
-	ck_assert_int_eq(run(group, "status", &out, NULL), 0);
+	expect_output(
+		group, "promote", 0,
+		"result=accepted environment=production number=1 digest=");
+	expect_output(group, "promote", 0, "in force already");
+	expect_output(group, "promote --number 1", 0, "in force already");
+	ck_assert_int_eq(run_command(group, "status", &out, NULL), 0);
 	ck_assert_ptr_nonnull(
 		strstr(out, "document environment=production number=1 "));
-	/* Nobody has announced itself yet, and the operator sees it. */
+	/* No target has announced itself yet, and the status shows it. */
 	ck_assert_ptr_nonnull(strstr(
 		out, "service environment=production name=readings address="));
 	ck_assert_ptr_nonnull(strstr(out, " targets=0\n"));
@@ -252,39 +257,38 @@
 	g_free(submit);
 	g_free(rival);
 	g_free(submit_wrong);
-	close_group(group);
+	destroy_group(group);
 }
 END_TEST
 
-START_TEST(members_and_keys_are_changed_by_name)
+START_TEST(changes_members_and_keys_by_name)
 {
-	group_t *group = open_group();
+	group_t *group = create_group();
 	char *words;
 	char *out;
 
-	expect(group, "rotate", 0, "result=accepted key=2");
-	expect(group, "rotate", 0, "result=accepted key=2 message=");
-	expect(group, "drain nobody", 1, "status=not_found");
-	expect(group, "remove nobody --environment trial", 1,
-	       "status=not_found");
-	expect(group, "evacuate nowhere", 1, "status=not_found");
-	expect(group, "readmit nowhere", 1, "status=not_found");
+	expect_output(group, "rotate", 0, "result=accepted key=2");
+	expect_output(group, "rotate", 0, "result=accepted key=2 message=");
+	expect_output(group, "drain nobody", 1, "status=not_found");
+	expect_output(group, "remove nobody --environment trial", 1,
+		      "status=not_found");
+	expect_output(group, "evacuate nowhere", 1, "status=not_found");
+	expect_output(group, "readmit nowhere", 1, "status=not_found");
 	words = g_strdup_printf("status --process %s",
 				strrchr(group->addresses, ',') + 1);
-	ck_assert_int_eq(run(group, words, &out, NULL), 0);
+	ck_assert_int_eq(run_command(group, words, &out, NULL), 0);
 	ck_assert_ptr_nonnull(strstr(out, "counter name=control_polls value="));
 	ck_assert_uint_gt(count_lines(out), 60);
 	g_free(out);
 	g_free(words);
-	close_group(group);
+	destroy_group(group);
 }
 END_TEST
 
-/* A command that cannot be done says so in one line and never hangs. */
-/* A rendered settings file is checked before any process is started on it. */
-START_TEST(settings_of_flows_are_checked)
+/* A rendered settings file can be checked before a process starts with it. */
+START_TEST(checks_flow_settings)
 {
-	group_t *group = open_group();
+	group_t *group = create_group();
 	char *path = g_build_filename(group->folder, "flow.ini", NULL);
 	char *words = g_strdup_printf("check --settings %s --role agent", path);
 	char *out = NULL;
@@ -298,54 +302,55 @@
 		"[target]\naddress=10.0.0.1:4\nservice=a\n"
 		"[group]\nseeds=10.0.0.2:2\n",
 		-1, NULL));
-	ck_assert_int_eq(run(group, words, &out, &err), 0);
+	ck_assert_int_eq(run_command(group, words, &out, &err), 0);
 	ck_assert_ptr_nonnull(strstr(out, "result=valid role=agent name=n"));
 	g_free(out);
 	g_free(err);
 	ck_assert(g_file_set_contents(path, "[process]\nname=n\n", -1, NULL));
-	ck_assert_int_eq(run(group, words, &out, &err), 1);
+	ck_assert_int_eq(run_command(group, words, &out, &err), 1);
 	ck_assert_ptr_nonnull(strstr(err, "failure-domain: \"\""));
 	g_free(out);
 	g_free(err);
 	g_free(words);
 	g_free(path);
-	close_group(group);
+	destroy_group(group);
 }
 END_TEST
 
-START_TEST(wrong_use_and_silence_are_told)
+/* A command that fails prints one line and does not hang. */
+START_TEST(reports_usage_errors_and_missing_leader)
 {
-	group_t *group = open_group();
+	group_t *group = create_group();
 	int i;
 
-	expect(group, "submit", 2, "operand is missing");
-	expect(group, "submit /nowhere/doc", 2, "/nowhere/doc");
-	expect(group, "drain a b", 2, "\"b\" is not expected here");
-	expect(group, "promote x", 2, "\"x\" is not expected here");
-	expect(group, "status --timeout-ms 5", 2, "timeout-ms");
-	expect(group, "status --controls nonsense", 2, "nonsense");
-	expect(group, "status --key-file /nowhere", 2, "/nowhere");
-	expect(group,
-	       "control --id 4 --data x --listen 127.0.0.1:0 "
-	       "--peers 1=127.0.0.1:9",
-	       2, "--peers");
+	expect_output(group, "submit", 2, "operand is missing");
+	expect_output(group, "submit /nowhere/doc", 2, "/nowhere/doc");
+	expect_output(group, "drain a b", 2, "\"b\" is not expected here");
+	expect_output(group, "promote x", 2, "\"x\" is not expected here");
+	expect_output(group, "status --timeout-ms 5", 2, "timeout-ms");
+	expect_output(group, "status --controls nonsense", 2, "nonsense");
+	expect_output(group, "status --key-file /nowhere", 2, "/nowhere");
+	expect_output(group,
+		      "control --id 4 --data x --listen 127.0.0.1:0 "
+		      "--peers 1=127.0.0.1:9",
+		      2, "--peers");
 	for (i = 0; i < CONTROLS; i++) {
 		fake_process_signal(group->controls[i], SIGKILL);
-		fake_process_join(group->controls[i], STOP_WAIT_MS);
+		fake_process_join(group->controls[i], STOP_TIMEOUT_MS);
 	}
-	expect(group, "status --timeout-ms 300", 1,
-	       "no leader of the control group answered within 300 ms");
-	close_group(group);
+	expect_output(group, "status --timeout-ms 300", 1,
+		      "no leader of the control group answered within 300 ms");
+	destroy_group(group);
 }
 END_TEST
 
 int main(void)
 {
 	const TTest *const tests[] = {
-		document_goes_from_trial_to_production,
-		members_and_keys_are_changed_by_name,
-		settings_of_flows_are_checked,
-		wrong_use_and_silence_are_told,
+		promotes_trial_document_to_production,
+		changes_members_and_keys_by_name,
+		checks_flow_settings,
+		reports_usage_errors_and_missing_leader,
 		NULL,
 	};
 
--- a/tests/test_end_to_end.c
+++ b/tests/test_end_to_end.c
@@ -7,85 +7,85 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Readings of each station between two events of a run. */
-#define CALM 3
+/* Readings that each station completes between two steps of a run. */
+#define READINGS_PER_STEP 3
 
-/* One event of a run: what happens, and how it is made good again. */
+/* A fault or planned change, and how to undo it. */
 typedef struct event {
 	const char *name;
-	const char *group; /* two events at once are of two groups */
-	void (*begin)(fake_cluster_t *cluster, const char *victim);
-	void (*end)(fake_cluster_t *cluster, const char *victim);
-	unsigned victims;
+	const char *group; /* concurrent events are of different groups */
+	void (*inject)(fake_cluster_t *cluster, const char *process);
+	void (*recover)(fake_cluster_t *cluster, const char *process);
+	unsigned process_count;
 	int planned;
 } event_t;
 
-static void kill_process(fake_cluster_t *cluster, const char *victim)
+static void kill_process(fake_cluster_t *cluster, const char *process)
 {
-	fake_cluster_kill(cluster, victim);
+	fake_cluster_kill(cluster, process);
 }
 
-static void start_process(fake_cluster_t *cluster, const char *victim)
+static void start_process(fake_cluster_t *cluster, const char *process)
 {
-	fake_cluster_start(cluster, victim);
+	fake_cluster_start(cluster, process);
 }
 
-static void start_balancer(fake_cluster_t *cluster, const char *victim)
+static void start_balancer(fake_cluster_t *cluster, const char *process)
 {
-	fake_cluster_start(cluster, victim);
-	fake_cluster_point_fabrics(cluster);
+	fake_cluster_start(cluster, process);
+	fake_cluster_update_fabrics(cluster);
 }
 
-/* Until it votes again, no other control's disk may be lost. */
-static void start_control(fake_cluster_t *cluster, const char *victim)
+/* Waits until it votes again: no other control may lose its disk before. */
+static void start_control(fake_cluster_t *cluster, const char *process)
 {
-	fake_cluster_start(cluster, victim);
-	fake_operator_await_voter(cluster, victim);
+	fake_cluster_start(cluster, process);
+	fake_operator_await_voter(cluster, process);
 }
 
-static void stop_process(fake_cluster_t *cluster, const char *victim)
+static void stop_process(fake_cluster_t *cluster, const char *process)
 {
-	fake_cluster_stop(cluster, victim);
+	fake_cluster_stop(cluster, process);
 }
 
-static void erase_control(fake_cluster_t *cluster, const char *victim)
+static void erase_control(fake_cluster_t *cluster, const char *process)
 {
-	fake_cluster_kill(cluster, victim);
-	fake_cluster_erase(cluster, victim);
+	fake_cluster_kill(cluster, process);
+	fake_cluster_erase_data(cluster, process);
 }
 
-/* What announces a target belongs to one run of it. */
+/* An announcer announces one incarnation of a target. */
 static char *announcer_of(const char *target)
 {
 	return g_strconcat("announce", strpbrk(target, "0123456789"), NULL);
 }
 
-static void kill_target(fake_cluster_t *cluster, const char *victim)
+static void kill_target(fake_cluster_t *cluster, const char *process)
 {
-	char *announcer = announcer_of(victim);
+	char *announcer = announcer_of(process);
 
-	fake_cluster_kill(cluster, victim);
+	fake_cluster_kill(cluster, process);
 	fake_cluster_kill(cluster, announcer);
 	g_free(announcer);
 }
 
-static void start_target(fake_cluster_t *cluster, const char *victim)
+static void start_target(fake_cluster_t *cluster, const char *process)
 {
-	char *announcer = announcer_of(victim);
+	char *announcer = announcer_of(process);
 
-	fake_cluster_start(cluster, victim);
+	fake_cluster_start(cluster, process);
 	fake_cluster_start(cluster, announcer);
 	g_free(announcer);
 }
 
-static void freeze(fake_cluster_t *cluster, const char *victim)
+static void suspend(fake_cluster_t *cluster, const char *process)
 {
-	fake_cluster_signal(cluster, victim, SIGSTOP);
+	fake_cluster_signal(cluster, process, SIGSTOP);
 }
 
-static void thaw(fake_cluster_t *cluster, const char *victim)
+static void resume(fake_cluster_t *cluster, const char *process)
 {
-	fake_cluster_signal(cluster, victim, SIGCONT);
+	fake_cluster_signal(cluster, process, SIGCONT);
 }
 
 static char *target_of(const char *agent)
@@ -93,21 +93,21 @@
 	return g_strconcat("readings", strpbrk(agent, "0123456789"), NULL);
 }
 
-/* A whole VM is lost: the target, its announcer and its agent. */
-static void kill_vm(fake_cluster_t *cluster, const char *victim)
+/* Loss of a VM: its target, the announcer and the agent. */
+static void kill_vm(fake_cluster_t *cluster, const char *process)
 {
-	char *target = target_of(victim);
+	char *target = target_of(process);
 
-	fake_cluster_kill(cluster, victim);
+	fake_cluster_kill(cluster, process);
 	kill_target(cluster, target);
 	g_free(target);
 }
 
-static void start_vm(fake_cluster_t *cluster, const char *victim)
+static void start_vm(fake_cluster_t *cluster, const char *process)
 {
-	char *target = target_of(victim);
+	char *target = target_of(process);
 
-	fake_cluster_start(cluster, victim);
+	fake_cluster_start(cluster, process);
 	start_target(cluster, target);
 	g_free(target);
 }
@@ -119,47 +119,47 @@
 	return g_strdup_printf("control%d", number % FAKE_CONTROLS + 1);
 }
 
-/* A control's disk is lost, it is repaired, and a second one dies at once. */
-static void repair_and_lose(fake_cluster_t *cluster, const char *victim)
+/* A control loses its disk and recovers; the next one dies right after. */
+static void repair_and_kill_next(fake_cluster_t *cluster, const char *process)
 {
-	char *second = next_control(victim);
+	char *second = next_control(process);
 
-	erase_control(cluster, victim);
-	start_control(cluster, victim);
+	erase_control(cluster, process);
+	start_control(cluster, process);
 	fake_cluster_kill(cluster, second);
 	g_free(second);
 }
 
-static void start_second(fake_cluster_t *cluster, const char *victim)
+static void start_next_control(fake_cluster_t *cluster, const char *process)
 {
-	char *second = next_control(victim);
+	char *second = next_control(process);
 
 	start_control(cluster, second);
 	g_free(second);
 }
 
-static void drain(fake_cluster_t *cluster, const char *victim)
+static void drain(fake_cluster_t *cluster, const char *process)
 {
-	fake_operator_drain(cluster, victim);
+	fake_operator_drain(cluster, process);
 }
 
-static void restart(fake_cluster_t *cluster, const char *victim)
+static void restart(fake_cluster_t *cluster, const char *process)
 {
-	fake_cluster_stop(cluster, victim);
-	fake_cluster_start(cluster, victim);
+	fake_cluster_stop(cluster, process);
+	fake_cluster_start(cluster, process);
 }
 
-static void change_document(fake_cluster_t *cluster, const char *victim)
+static void change_document(fake_cluster_t *cluster, const char *process)
 {
 	fake_operator_change_document(cluster);
 }
 
-static void rotate_keys(fake_cluster_t *cluster, const char *victim)
+static void rotate_keys(fake_cluster_t *cluster, const char *process)
 {
 	int code = fake_operator_run(cluster, NULL, "rotate", NULL);
 	char *log = fake_cluster_log(cluster, "operator");
 
-	/* The group may just have begun one by itself. */
+	/* The group may have started a rotation by itself. */
 	ck_assert_msg(!code || strstr(log, "a rotation is under way"),
 		      "rotate: exit code %d: %s", code, log);
 	g_free(log);
@@ -181,40 +181,41 @@
 	{ "kill_agent", "agent", kill_process, start_process, FAKE_TARGETS, 0 },
 	{ "kill_target", "readings", kill_target, start_target, FAKE_TARGETS,
 	  0 },
-	{ "freeze_balancer", "balancer", freeze, thaw, FAKE_BALANCERS, 0 },
-	{ "freeze_control", "control", freeze, thaw, FAKE_CONTROLS, 0 },
-	{ "freeze_agent", "agent", freeze, thaw, FAKE_TARGETS, 0 },
-	{ "freeze_target", "readings", freeze, thaw, FAKE_TARGETS, 0 },
+	{ "freeze_balancer", "balancer", suspend, resume, FAKE_BALANCERS, 0 },
+	{ "freeze_control", "control", suspend, resume, FAKE_CONTROLS, 0 },
+	{ "freeze_agent", "agent", suspend, resume, FAKE_TARGETS, 0 },
+	{ "freeze_target", "readings", suspend, resume, FAKE_TARGETS, 0 },
 	{ "kill_vm", "agent", kill_vm, start_vm, FAKE_TARGETS, 0 },
-	{ "repair_and_lose", "control", repair_and_lose, start_second,
-	  FAKE_CONTROLS, 0 },
+	{ "repair_and_lose", "control", repair_and_kill_next,
+	  start_next_control, FAKE_CONTROLS, 0 },
 	{ "erase_control", "control", erase_control, start_control,
 	  FAKE_CONTROLS, 0 },
 };
 
 /* Whether two events may touch the same process. */
-static int clash(const event_t *one, const event_t *other)
+static int have_conflict(const event_t *one, const event_t *other)
 {
 	return !strcmp(one->group, other->group) ||
-	       (one->begin == kill_vm && !strcmp(other->group, "readings")) ||
-	       (other->begin == kill_vm && !strcmp(one->group, "readings"));
+	       (one->inject == kill_vm && !strcmp(other->group, "readings")) ||
+	       (other->inject == kill_vm && !strcmp(one->group, "readings"));
 }
 
-static const event_t *draw(GRand *rand, int planned, const event_t *other)
+static const event_t *pick_event(GRand *rand, int planned, const event_t *other)
 {
 	const event_t *event;
 
 	do
 		event = &events[g_rand_int_range(rand, 0,
 						 G_N_ELEMENTS(events))];
-	while ((planned && !event->planned) || (other && clash(event, other)));
+	while ((planned && !event->planned) ||
+	       (other && have_conflict(event, other)));
 	return event;
 }
 
-static void draw_victim(GRand *rand, const event_t *event, char name[32])
+static void pick_process(GRand *rand, const event_t *event, char name[32])
 {
 	g_snprintf(name, 32, "%s%d", event->group,
-		   g_rand_int_range(rand, 1, (int)event->victims + 1));
+		   g_rand_int_range(rand, 1, (int)event->process_count + 1));
 }
 
 static void await_agents(fake_cluster_t *cluster)
@@ -229,27 +230,27 @@
 	}
 }
 
-/* Two events at once, work in between, then both made good. */
-static void run_pair(fake_cluster_t *cluster, GRand *rand, int planned)
+/* Inject two concurrent events, continue the load, then undo both. */
+static void run_event_pair(fake_cluster_t *cluster, GRand *rand, int planned)
 {
-	const event_t *first = draw(rand, planned, NULL);
-	const event_t *second = draw(rand, planned, first);
+	const event_t *first = pick_event(rand, planned, NULL);
+	const event_t *second = pick_event(rand, planned, first);
 	char one[32];
 	char other[32];
 
-	draw_victim(rand, first, one);
-	draw_victim(rand, second, other);
+	pick_process(rand, first, one);
+	pick_process(rand, second, other);
 	printf("event=%s process=%s with=%s process=%s\n", first->name, one,
 	       second->name, other);
 	fflush(stdout);
-	first->begin(cluster, one);
-	second->begin(cluster, other);
-	fake_stations_await(cluster, CALM);
-	if (first->end)
-		first->end(cluster, one);
-	if (second->end)
-		second->end(cluster, other);
-	fake_stations_await(cluster, CALM);
+	first->inject(cluster, one);
+	second->inject(cluster, other);
+	fake_stations_await(cluster, READINGS_PER_STEP);
+	if (first->recover)
+		first->recover(cluster, one);
+	if (second->recover)
+		second->recover(cluster, other);
+	fake_stations_await(cluster, READINGS_PER_STEP);
 	await_agents(cluster);
 	fake_operator_await_document(cluster);
 }
@@ -259,10 +260,11 @@
 	printf("seed=%u sent=%u answered=%u doubled=%u lost=%u wrong=%u "
 	       "may_have_run=%u broken=%u broken_refused=%u broken_token=%u "
 	       "broken_error=%u broken_timeout=%u\n",
-	       seed, account->sent, account->answered, account->doubled,
+	       seed, account->sent, account->answered, account->stored_twice,
 	       account->lost, account->wrong, account->may_have_run,
-	       account->broken, account->broken_refused, account->broken_token,
-	       account->broken_error, account->broken_timeout);
+	       account->broken_flows, account->broken_refused,
+	       account->broken_token, account->broken_error,
+	       account->broken_timeout);
 	fflush(stdout);
 }
 
@@ -271,7 +273,7 @@
 	fake_account_t account = fake_stations_finish(cluster);
 
 	print_account(seed, &account);
-	ck_assert_uint_eq(account.doubled, 0);
+	ck_assert_uint_eq(account.stored_twice, 0);
 	ck_assert_uint_eq(account.lost, 0);
 	ck_assert_uint_eq(account.wrong, 0);
 	ck_assert_uint_gt(account.answered, 0);
@@ -285,9 +287,9 @@
 	fake_account_t account;
 
 	fake_stations_start(cluster);
-	fake_stations_await(cluster, CALM);
+	fake_stations_await(cluster, READINGS_PER_STEP);
 	while (pairs--)
-		run_pair(cluster, rand, planned);
+		run_event_pair(cluster, rand, planned);
 	fake_stations_pull_maps(cluster);
 	account = finish(cluster, seed);
 	g_rand_free(rand);
@@ -296,25 +298,25 @@
 }
 
 /*
- * A night of work on the machines: balancers, controls and agents are
- * stopped and started, two at once, while stations stream. A station would
- * see its session end. Each stop must hand on or finish what it holds.
+ * Guards against planned changes that end a session. Balancers, controls and
+ * agents are stopped and started, two at a time, while stations submit
+ * readings. Each stop must hand over or finish its work.
  */
-START_TEST(planned_changes_break_no_flow)
+START_TEST(keeps_flows_during_planned_changes)
 {
 	fake_account_t account = run_seed(11 + _i, 1, 4);
 
-	ck_assert_uint_eq(account.broken, 0);
+	ck_assert_uint_eq(account.broken_flows, 0);
 	ck_assert_uint_eq(account.may_have_run, 0);
 }
 END_TEST
 
 /*
- * Processes die, lose their disks or fall silent and come back, two at once.
- * A reading would be stored twice, or be answered and not stored: a call
- * sent again reaches a second target, or an old owner answers.
+ * Guards against a reading that is stored twice, or answered and not stored.
+ * Processes die, lose their disks or hang and come back, two at a time. A
+ * retransmitted call then reaches a second target, or an old owner answers.
  */
-START_TEST(failures_double_and_lose_nothing)
+START_TEST(stores_each_reading_once_despite_failures)
 {
 	run_seed(31 + _i, 0, 4);
 }
@@ -330,11 +332,12 @@
 }
 
 /*
- * Two operators submit different documents of one number at once, and the
- * winner's answer is lost, so that it sends again. Both would believe that
- * theirs is in force, or the resent one would count as a third change.
+ * Two operators submit different documents with the same number at the same
+ * time, and the winner repeats its request because the answer was lost. Guards
+ * against both being told that their document is in force, and against the
+ * repeated request counting as a third change.
  */
-START_TEST(racing_operators_have_one_winner)
+START_TEST(accepts_one_of_two_racing_operators)
 {
 	static const char *const requests[] = {
 		"00000000000000000000000000000001",
@@ -353,7 +356,7 @@
 	int i;
 
 	fake_stations_start(cluster);
-	fake_stations_await(cluster, CALM);
+	fake_stations_await(cluster, READINGS_PER_STEP);
 	for (i = 0; i < 2; i++)
 		submit_second(cluster, names[i], names[i], paths[i],
 			      requests[i]);
@@ -369,9 +372,9 @@
 	ck_assert_int_eq(fake_cluster_wait(cluster, "again", &again), 0);
 	ck_assert_str_eq(again, outputs[winner]);
 	ck_assert_int_eq(fake_operator_run(cluster, NULL, "promote", NULL), 0);
-	fake_stations_await(cluster, CALM);
+	fake_stations_await(cluster, READINGS_PER_STEP);
 	account = finish(cluster, 51);
-	ck_assert_uint_eq(account.broken, 0);
+	ck_assert_uint_eq(account.broken_flows, 0);
 	for (i = 0; i < 2; i++) {
 		g_free(outputs[i]);
 		g_free(paths[i]);
@@ -382,8 +385,8 @@
 }
 END_TEST
 
-/* DY_SEED=N runs that seed alone, with DY_PAIRS pairs of events. */
-START_TEST(given_seed_doubles_and_loses_nothing)
+/* DY_SEED=N runs only that seed, with DY_PAIRS pairs of events. */
+START_TEST(stores_each_reading_once_for_given_seed)
 {
 	const char *pairs = g_getenv("DY_PAIRS");
 
@@ -396,13 +399,14 @@
 {
 	if (g_getenv("DY_SEED")) {
 		tcase_set_timeout(tcase, 3600);
-		tcase_add_test(tcase, given_seed_doubles_and_loses_nothing);
+		tcase_add_test(tcase, stores_each_reading_once_for_given_seed);
 		return;
 	}
 	tcase_set_timeout(tcase, 150);
-	tcase_add_loop_test(tcase, planned_changes_break_no_flow, 0, 2);
-	tcase_add_loop_test(tcase, failures_double_and_lose_nothing, 0, 3);
-	tcase_add_test(tcase, racing_operators_have_one_winner);
+	tcase_add_loop_test(tcase, keeps_flows_during_planned_changes, 0, 2);
+	tcase_add_loop_test(tcase, stores_each_reading_once_despite_failures, 0,
+			    3);
+	tcase_add_test(tcase, accepts_one_of_two_racing_operators);
 }
 
 int main(void)
--- a/tests/test_handover.c
+++ b/tests/test_handover.c
@@ -4,7 +4,7 @@
 
 #include <rpc/rpc.h>
 
-/* Agent 0 with an open session of caller 0; the others serve too. */
+/* Start agents; caller 0 has an open session at agent 0. */
 static fake_world_t *create_group(unsigned agents)
 {
 	fake_world_t *world = fake_world_create();
@@ -19,8 +19,8 @@
 	return world;
 }
 
-/* Up to where its successors have answered and no session has moved. */
-static void leave(fake_world_t *world, unsigned index)
+/* Drain until the successors have answered and before any session moves. */
+static void drain_until_offers_answered(fake_world_t *world, unsigned index)
 {
 	dy_agent_leave(world->agents[index].agent, "test", 1);
 	world_poll(world, index);
@@ -29,7 +29,7 @@
 		;
 }
 
-START_TEST(same_successor_everywhere)
+START_TEST(picks_same_successor_in_any_order)
 {
 	uint64_t forth[3] = { 11, 22, 33 };
 	uint64_t back[3] = { 33, 11, 22 };
@@ -48,11 +48,11 @@
 END_TEST
 
 /*
- * A target is drained while a station streams. Its session moves; the next
- * reading runs at the successor, and copies of readings that ran before the
- * move, and of one that was refused, get the same end there.
+ * An agent drains while a station submits readings. The session moves and the
+ * next reading runs at the successor. Copies of a reading that ran before the
+ * move, and of one that was refused, get the same outcome at the successor.
  */
-START_TEST(session_moves_with_its_cache)
+START_TEST(moves_session_with_its_cache)
 {
 	fake_world_t *world = create_group(2);
 	uint32_t ran = world_call(world, 0, 0, FAKE_SUBMIT);
@@ -62,7 +62,7 @@
 	world_answer_all(world, 0);
 	shed = world_call(world, 0, 0, FAKE_SUBMIT);
 	ck_assert(world_answer(world, 0, 0, FAKE_SHED));
-	leave(world, 0);
+	drain_until_offers_answered(world, 0);
 	world_settle(world);
 	ck_assert_int_eq(dy_agent_state(world->agents[0].agent),
 			 DY_MEMBER_LEFT);
@@ -80,22 +80,22 @@
 END_TEST
 
 /*
- * The message of the handover arrives and its acknowledgement is lost. The
- * old owner cannot tell whether the successor has the session; a call that
- * it ran now could run a second time there. It must pass the call on.
+ * Guards against a call that runs at both agents. The handover message arrives
+ * and its acknowledgement is lost, so that the old owner cannot tell whether
+ * the successor has the session. It must relay the call and not run it.
  */
-START_TEST(lost_acknowledgement_never_runs_here_again)
+START_TEST(relays_call_after_lost_acknowledgement)
 {
 	fake_world_t *world = create_group(2);
 	uint32_t id;
 
-	leave(world, 0);
+	drain_until_offers_answered(world, 0);
 	world_pass(world, 50);
-	ck_assert(world_deliver(world)); /* MOVE */
-	ck_assert(world_lose(world));	 /* TAKEN */
+	ck_assert(world_deliver(world)); /* the handover */
+	ck_assert(world_lose(world));	 /* its acknowledgement */
 	id = world_call(world, 0, 0, FAKE_SUBMIT);
 	ck_assert_uint_eq(world_counter(world, 0, "calls_sent"), 0);
-	ck_assert(world_deliver(world)); /* the call itself */
+	ck_assert(world_deliver(world)); /* the relayed call */
 	ck_assert_uint_eq(world_counter(world, 1, "calls_sent"), 1);
 	world_copy(world, 0, id);
 	world_settle(world);
@@ -108,16 +108,17 @@
 END_TEST
 
 /*
- * A message of the handover is doubled and the second one arrives after the
- * successor has run a reading: taken again, it would bring back a cache that
- * does not know of that reading, and a copy of it would run.
+ * Guards against an outdated duplicate request cache. A handover message is
+ * duplicated, and the second one arrives after the successor has run a
+ * reading. If accepted, it would restore a cache without that reading, and a
+ * copy of the reading would run.
  */
-START_TEST(doubled_message_changes_nothing)
+START_TEST(ignores_duplicate_handover_message)
 {
 	fake_world_t *world = create_group(2);
 	uint32_t id;
 
-	leave(world, 0);
+	drain_until_offers_answered(world, 0);
 	world_pass(world, 50);
 	world_double(world);
 	ck_assert(world_deliver(world));
@@ -131,14 +132,14 @@
 }
 END_TEST
 
-/* A call in progress ends where it began; then its session moves. */
-START_TEST(call_in_progress_ends_first)
+/* A call in progress ends at the old owner before its session moves. */
+START_TEST(finishes_call_before_session_moves)
 {
 	fake_world_t *world = create_group(2);
 	uint32_t id = world_call(world, 0, 0, FAKE_SUBMIT);
 	uint32_t next;
 
-	leave(world, 0);
+	drain_until_offers_answered(world, 0);
 	world_pass(world, 300);
 	ck_assert_uint_eq(world_counter(world, 0, "sessions_moved"), 0);
 	next = world_call(world, 0, 0, FAKE_SUBMIT);
@@ -154,19 +155,19 @@
 END_TEST
 
 /*
- * A balancer that has heard of the move sends calls to the successor before
- * the session has arrived there. Refused, the station would lose a reading
- * for a planned change; run, a copy of an earlier one would be stored twice.
- * They are dropped, and the client's next copy finds the session.
+ * A balancer that knows of the move sends calls to the successor before the
+ * session arrives there. If refused, the station would lose a reading because
+ * of a planned change. If run, a copy of an earlier reading would be stored
+ * twice. The calls are dropped, and the next retransmission finds the session.
  */
-START_TEST(early_call_waits_for_the_session)
+START_TEST(drops_call_until_its_session_arrives)
 {
 	fake_world_t *world = create_group(2);
 	uint32_t ran = world_call(world, 0, 0, FAKE_SUBMIT);
 	uint32_t id;
 
 	world_answer_all(world, 0);
-	leave(world, 0);
+	drain_until_offers_answered(world, 0);
 	id = world_call(world, 1, 0, FAKE_SUBMIT);
 	world_copy(world, 1, ran);
 	ck_assert_uint_eq(world->calls[id].outcomes, 0);
@@ -180,11 +181,12 @@
 END_TEST
 
 /*
- * The only two agents are drained at the same moment. Each could choose the
- * other, and hand its sessions round in a circle until nobody runs them.
- * They wait for a third, which must end up with both sessions.
+ * Guards against a handover in a circle. The only two agents are drained at
+ * the same time, and each could choose the other as its successor until neither
+ * runs the sessions. They must wait for a third agent, which gets both
+ * sessions.
  */
-START_TEST(two_leave_at_once)
+START_TEST(hands_over_two_concurrent_drains_to_third_agent)
 {
 	fake_world_t *world = create_group(2);
 	uint32_t id;
@@ -212,23 +214,24 @@
 END_TEST
 
 /*
- * The successor leaves at once, hands the session on, and ends before the
- * old owner has heard a word. The third agent runs a reading, dies and comes
- * back empty. Were the old owner to send it the session again, with the
- * cache of before, a copy of that reading would be stored twice.
+ * Guards against a handover that bypasses a successor. The successor accepts
+ * the session, leaves at once, hands the session to a third agent, and ends
+ * before the old owner gets a reply. The third agent runs a reading, dies and
+ * restarts with no state. If the old owner then sent it the session with the
+ * older cache, a copy of that reading would be stored twice.
  */
-START_TEST(silent_successor_is_not_passed_over)
+START_TEST(does_not_bypass_successor_that_left)
 {
 	fake_world_t *world = create_group(2);
 	uint32_t id;
 
-	leave(world, 0);
+	drain_until_offers_answered(world, 0);
 	world_pass(world, 50);
 	ck_assert(world_deliver(world));
 	ck_assert(world_lose(world));
 	world_start(world, 2);
 	world_poll(world, 1);
-	leave(world, 1);
+	drain_until_offers_answered(world, 1);
 	world_pass(world, 50);
 	ck_assert(world_deliver(world));
 	ck_assert(world_deliver(world));
@@ -251,15 +254,16 @@
 END_TEST
 
 /*
- * The successor dies with a session that it never acknowledged. It may have
- * run calls of it. Nobody may run a copy of them; the caller is told so.
+ * The successor dies with a session that it did not acknowledge. It may have
+ * run calls of the session. No agent may run copies of them, and the caller is
+ * told that they may have run.
  */
-START_TEST(dead_successor_loses_the_session)
+START_TEST(loses_session_of_dead_successor)
 {
 	fake_world_t *world = create_group(2);
 	uint32_t id;
 
-	leave(world, 0);
+	drain_until_offers_answered(world, 0);
 	world_pass(world, 50);
 	ck_assert(world_deliver(world));
 	id = world_call(world, 1, 0, FAKE_SUBMIT);
@@ -275,11 +279,12 @@
 END_TEST
 
 /*
- * A target dies and does not come back. Its agent lives, and each reading of
- * its stations would be refused until they give up: the night is broken. The
- * sessions go to the other target, with what they remember.
+ * Guards against flows that stay bound to a dead target. The target dies for
+ * good while its agent runs, and each reading of its stations would be refused
+ * until they give up. The sessions must move to the other target with their
+ * duplicate request caches.
  */
-START_TEST(lost_target_hands_its_sessions_on)
+START_TEST(hands_over_sessions_of_lost_target)
 {
 	fake_world_t *world = create_group(2);
 	uint32_t doubtful = world_call(world, 0, 0, FAKE_SUBMIT);
@@ -301,8 +306,8 @@
 }
 END_TEST
 
-/* A target that answers nothing is no successor. */
-START_TEST(silent_target_is_no_successor)
+/* An agent with an unresponsive target is not chosen as a successor. */
+START_TEST(does_not_choose_unresponsive_target)
 {
 	fake_world_t *world = create_group(2);
 
@@ -322,11 +327,11 @@
 END_TEST
 
 /*
- * An agent was killed a moment ago and control does not know yet. Another one
- * is drained: the sessions that it would send there are lost, for a planned
- * change. Only agents that answer are chosen.
+ * Guards against sessions lost in a planned change. An agent was killed and
+ * control has not detected it yet. Another agent drains and would lose the
+ * sessions that it sends there. Only agents that answer an offer are chosen.
  */
-START_TEST(killed_agent_is_no_successor)
+START_TEST(does_not_choose_killed_agent)
 {
 	fake_world_t *world = create_group(3);
 	unsigned i;
@@ -335,7 +340,7 @@
 	for (i = 1; i < FAKE_CALLERS; i++)
 		world_open(world, 0, i);
 	world_kill(world, 1);
-	leave(world, 0);
+	drain_until_offers_answered(world, 0);
 	world_settle(world);
 	ck_assert_int_eq(dy_agent_state(world->agents[0].agent),
 			 DY_MEMBER_LEFT);
@@ -349,12 +354,12 @@
 END_TEST
 
 /*
- * Agents are started anew one after another, as in an upgrade, while a flow
- * is silent. Its token names an agent that handed on to a name which is in
- * use again: looked for there, the session would be unknown, and the next
- * reading said to have perhaps run.
+ * Guards against an idle flow that loses its session in a rolling restart. Its
+ * token names an agent whose successor's name has been reused since. If looked
+ * up by that name, the session would be unknown, and the next reading would end
+ * as "may have run".
  */
-START_TEST(silent_flow_outlives_an_upgrade_of_all)
+START_TEST(keeps_idle_flow_during_rolling_restart)
 {
 	fake_world_t *world = create_group(2);
 	uint32_t id;
@@ -376,12 +381,12 @@
 }
 END_TEST
 
-/* Leaving agents take no new flow, and end without a successor in time. */
-START_TEST(last_agent_ends_without_successor)
+/* A draining agent opens no session, and leaves without any successor. */
+START_TEST(ends_drain_without_successor_after_timeout)
 {
 	fake_world_t *world = create_group(1);
 
-	leave(world, 0);
+	drain_until_offers_answered(world, 0);
 	world_open(world, 0, 1);
 	ck_assert_int_eq(world->bounce_reason, DY_REASON_DRAINING);
 	world_pass(world, 4000);
@@ -394,8 +399,8 @@
 }
 END_TEST
 
-/* A newer sender's fields are passed over. */
-START_TEST(longer_body_is_read)
+/* Fields that a newer sender appends are ignored; a short body is refused. */
+START_TEST(accepts_longer_handover_body)
 {
 	fake_world_t *world = create_group(1);
 	dy_moved_body_t body = { .caller = 5 };
@@ -432,21 +437,21 @@
 int main(void)
 {
 	const TTest *const tests[] = {
-		same_successor_everywhere,
-		session_moves_with_its_cache,
-		lost_acknowledgement_never_runs_here_again,
-		doubled_message_changes_nothing,
-		call_in_progress_ends_first,
-		early_call_waits_for_the_session,
-		two_leave_at_once,
-		silent_successor_is_not_passed_over,
-		dead_successor_loses_the_session,
-		lost_target_hands_its_sessions_on,
-		silent_target_is_no_successor,
-		killed_agent_is_no_successor,
-		silent_flow_outlives_an_upgrade_of_all,
-		last_agent_ends_without_successor,
-		longer_body_is_read,
+		picks_same_successor_in_any_order,
+		moves_session_with_its_cache,
+		relays_call_after_lost_acknowledgement,
+		ignores_duplicate_handover_message,
+		finishes_call_before_session_moves,
+		drops_call_until_its_session_arrives,
+		hands_over_two_concurrent_drains_to_third_agent,
+		does_not_bypass_successor_that_left,
+		loses_session_of_dead_successor,
+		hands_over_sessions_of_lost_target,
+		does_not_choose_unresponsive_target,
+		does_not_choose_killed_agent,
+		keeps_idle_flow_during_rolling_restart,
+		ends_drain_without_successor_after_timeout,
+		accepts_longer_handover_body,
 		NULL,
 	};
 
