--- a/include/damaskyard/agent.h
+++ b/include/damaskyard/agent.h
@@ -54,17 +54,17 @@
  * take them. Twice the lease, so that a target that restarts keeps its
  * sessions.
  */
-#define DY_TARGET_LOST_MS 6000
+#define DY_TARGET_LOST_TIMEOUT_MS 6000
 
 /* Interval at which to call dy_agent_tick(), in ms. */
-#define DY_AGENT_TICK_MS 50
+#define DY_AGENT_TICK_INTERVAL_MS 50
 
 /*
  * Timeout of a planned stop that cannot hand over its sessions because there
  * is no successor or no majority of control, in ms. Below the 90 s after which
  * a service manager kills the process.
  */
-#define DY_AGENT_STOP_MAX_MS 60000
+#define DY_AGENT_STOP_TIMEOUT_MS 60000
 
 /*
  * Time for which an agent that has left still relays calls, in ms. Without
@@ -86,17 +86,17 @@
 	/* Returns the monotonic time in microseconds. */
 	uint64_t (*now_us)(void *context);
 	/* Send an answer to a balancer. */
-	void (*answer)(void *context, const dy_address_t *to,
-		       dy_answer_t *answer);
+	void (*send_answer)(void *context, const dy_address_t *to,
+			    dy_answer_t *answer);
 	/* Return a call to the balancer, for another agent. */
-	void (*bounce)(void *context, const dy_address_t *to,
-		       dy_bounce_t *bounce);
+	void (*send_bounce)(void *context, const dy_address_t *to,
+			    dy_bounce_t *bounce);
 	/* Send a call on to another agent. */
-	void (*relay)(void *context, const dy_address_t *to,
-		      dy_forward_t *forward);
+	void (*relay_forward)(void *context, const dy_address_t *to,
+			      dy_forward_t *forward);
 	/* Send sessions, or an offer without sessions, to another agent. */
-	void (*handover)(void *context, const dy_address_t *to,
-			 dy_handover_t *handover);
+	void (*send_handover)(void *context, const dy_address_t *to,
+			      dy_handover_t *handover);
 	/*
 	 * Connect. Call dy_agent_link_up() or dy_agent_link_down() later, not
 	 * from within this callback.
@@ -115,13 +115,13 @@
 	 * Report this agent's state to control. successors holds `count`
 	 * incarnations; it is NULL unless the agent has left.
 	 */
-	void (*state)(void *context, dy_member_state_t state,
-		      const uint64_t *successors, unsigned count);
+	void (*report_state)(void *context, dy_member_state_t state,
+			     const uint64_t *successors, unsigned count);
 	/*
 	 * The target's data, as reported to control, has changed. slots is 0
 	 * while the target is unresponsive.
 	 */
-	void (*info)(void *context, const dy_announcement_t *target);
+	void (*report_info)(void *context, const dy_announcement_t *target);
 	/*
 	 * The agent has left and relays no more calls. The process may exit,
 	 * or create a new core for the next incarnation of the target.
@@ -154,10 +154,10 @@
  * Set the incarnation that control granted to this agent. The first one ends
  * the joining state.
  */
-void dy_agent_grant(dy_agent_t *agent, uint64_t incarnation);
+void dy_agent_set_incarnation(dy_agent_t *agent, uint64_t incarnation);
 
 /* Record what control reports of a member, which may be this agent. */
-void dy_agent_member(dy_agent_t *agent, const dy_member_t *member);
+void dy_agent_update_member(dy_agent_t *agent, const dy_member_t *member);
 
 /* All members of one poll of control have been passed in. */
 void dy_agent_caught_up(dy_agent_t *agent);
@@ -192,15 +192,16 @@
  * Process an announcement of the target and write the reply to *result. The
  * first one binds the agent to its service, unless the target is draining.
  */
-void dy_agent_announce(dy_agent_t *agent, const dy_announcement_t *announcement,
-		       dy_announce_result_t *result);
+void dy_agent_receive_announcement(dy_agent_t *agent,
+				   const dy_announcement_t *announcement,
+				   dy_announce_result_t *result);
 
 /*
  * Process a call that a balancer or another agent has forwarded. from is the
  * sender; the answer goes there unless the call names an address to reply to.
  */
-void dy_agent_forward(dy_agent_t *agent, const dy_address_t *from,
-		      const dy_forward_t *forward);
+void dy_agent_receive_forward(dy_agent_t *agent, const dy_address_t *from,
+			      const dy_forward_t *forward);
 
 /*
  * Report that a connection to the target is established, has failed, or has
@@ -216,20 +217,20 @@
  * Receive sessions from an agent that leaves and write the reply to *result.
  * The caller frees the arrays of result with xdr_free().
  */
-void dy_agent_take_handover(dy_agent_t *agent, const dy_handover_t *handover,
-			    dy_handover_result_t *result);
+void dy_agent_receive_handover(dy_agent_t *agent, const dy_handover_t *handover,
+			       dy_handover_result_t *result);
 
 /* Process a successor's reply to a handover message. */
-void dy_agent_handover_result(dy_agent_t *agent,
-			      const dy_handover_result_t *result);
+void dy_agent_receive_handover_result(dy_agent_t *agent,
+				      const dy_handover_result_t *result);
 
 /*
  * Start to drain: open no new session, finish the calls in progress, hand the
  * sessions over to successors, then leave. why is a single word for the log.
- * exits says that the process must exit, after DY_AGENT_STOP_MAX_MS even
+ * exits says that the process must exit, after DY_AGENT_STOP_TIMEOUT_MS even
  * without a successor.
  */
-void dy_agent_leave(dy_agent_t *agent, const char *why, int exits);
+void dy_agent_drain(dy_agent_t *agent, const char *why, int exits);
 
 /* Run timers: leases, deadlines, reconnects, retransmits, the drain. */
 void dy_agent_tick(dy_agent_t *agent);
--- a/src/process/agent/agent_leave.c
+++ b/src/process/agent/agent_drain.c
@@ -52,7 +52,7 @@
 /* Timeout of a planned stop if the service has no other agent, in ms. */
 #define NO_SUCCESSOR_TIMEOUT_MS 5000
 
-void dy_agent_leave(dy_agent_t *agent, const char *why, int exits)
+void dy_agent_drain(dy_agent_t *agent, const char *why, int exits)
 {
 	if (exits && !agent->exit_after_drain) {
 		agent->exit_after_drain = 1;
@@ -64,8 +64,8 @@
 	agent->state = DY_MEMBER_DRAINING;
 	agent_log_event(agent, EVENT_DRAIN_STARTED, "why=%s sessions=%u", why,
 			dy_sessions_count(agent->sessions));
-	agent->config.callbacks->state(agent->config.context,
-				       DY_MEMBER_DRAINING, NULL, 0);
+	agent->config.callbacks->report_state(agent->config.context,
+					      DY_MEMBER_DRAINING, NULL, 0);
 }
 
 void dy_agent_caught_up(dy_agent_t *agent)
@@ -225,8 +225,8 @@
 	handover.sessions.sessions_val = sessions;
 	handover.sessions.sessions_len = count;
 	agent_count(agent, EVENT_HANDOVER_SENT);
-	agent->config.callbacks->handover(agent->config.context,
-					  &member->address, &handover);
+	agent->config.callbacks->send_handover(agent->config.context,
+					       &member->address, &handover);
 	for (i = 0; i < count; i++)
 		g_free(sessions[i].body.body_val);
 }
@@ -266,9 +266,9 @@
 	agent_log_event(agent, EVENT_LEFT, "sessions=%u successors=%u",
 			dy_sessions_count(agent->sessions),
 			agent->successor_count);
-	agent->config.callbacks->state(agent->config.context, DY_MEMBER_LEFT,
-				       agent->successors,
-				       agent->successor_count);
+	agent->config.callbacks->report_state(agent->config.context,
+					      DY_MEMBER_LEFT, agent->successors,
+					      agent->successor_count);
 }
 
 static void report_left(dy_agent_t *agent)
@@ -290,7 +290,7 @@
 		return 1;
 	if (agent->members_current && !agent->candidate_count)
 		return waited_ms >= NO_SUCCESSOR_TIMEOUT_MS;
-	return waited_ms >= DY_AGENT_STOP_MAX_MS;
+	return waited_ms >= DY_AGENT_STOP_TIMEOUT_MS;
 }
 
 static void run_handover_pass(dy_agent_t *agent)
@@ -321,7 +321,7 @@
 		       since_ms < LEFT_COMMIT_TIMEOUT_MS;
 	if (since_ms < DY_AGENT_LINGER_MS)
 		return 1;
-	return !agent->left_committed && since_ms < DY_AGENT_STOP_MAX_MS;
+	return !agent->left_committed && since_ms < DY_AGENT_STOP_TIMEOUT_MS;
 }
 
 void agent_drain_tick(dy_agent_t *agent)
@@ -352,8 +352,8 @@
 	copy.reply_to = route->balancer;
 	copy.hops = forward->hops + 1;
 	agent_count(agent, EVENT_FORWARD_RELAYED);
-	agent->config.callbacks->relay(agent->config.context, &member->address,
-				       &copy);
+	agent->config.callbacks->relay_forward(agent->config.context,
+					       &member->address, &copy);
 	return 0;
 }
 
@@ -390,8 +390,8 @@
 	return session;
 }
 
-void dy_agent_handover_result(dy_agent_t *agent,
-			      const dy_handover_result_t *result)
+void dy_agent_receive_handover_result(dy_agent_t *agent,
+				      const dy_handover_result_t *result)
 {
 	dy_session_t *session;
 	unsigned i;
--- a/src/process/agent/agent_forward.c
+++ b/src/process/agent/agent_forward.c
@@ -280,7 +280,7 @@
 
 /*
  * Serve a call of a session that expired here. Each call of that session ended
- * at least DY_RETRANSMIT_MS ago, so that this one is not a copy of any.
+ * at least DY_RETRANSMIT_WINDOW_MS ago, so that this one is not a copy of any.
  */
 static void serve_expired(dy_agent_t *agent, const request_t *request)
 {
@@ -432,8 +432,8 @@
 	return 1;
 }
 
-void dy_agent_forward(dy_agent_t *agent, const dy_address_t *from,
-		      const dy_forward_t *forward)
+void dy_agent_receive_forward(dy_agent_t *agent, const dy_address_t *from,
+			      const dy_forward_t *forward)
 {
 	request_t request = { 0 };
 
--- a/src/process/agent/agent_target.c
+++ b/src/process/agent/agent_target.c
@@ -317,7 +317,7 @@
 	info.labels = target->labels;
 	info.slots = target->unresponsive ? 0 : target->slots;
 	info.connections = target->connections;
-	agent->config.callbacks->info(agent->config.context, &info);
+	agent->config.callbacks->report_info(agent->config.context, &info);
 }
 
 static void apply_announcement(dy_agent_t *agent, const dy_announcement_t *from,
@@ -341,8 +341,9 @@
 	report_target_info(agent);
 }
 
-void dy_agent_announce(dy_agent_t *agent, const dy_announcement_t *from,
-		       dy_announce_result_t *result)
+void dy_agent_receive_announcement(dy_agent_t *agent,
+				   const dy_announcement_t *from,
+				   dy_announce_result_t *result)
 {
 	dy_address_t address;
 
@@ -359,7 +360,7 @@
 		return;
 	apply_announcement(agent, from, &address);
 	if (from->draining)
-		dy_agent_leave(agent, "target", 0);
+		dy_agent_drain(agent, "target", 0);
 	agent_call_dispatch(agent);
 }
 
@@ -412,11 +413,12 @@
 		target->unresponsive_since_ms = now_ms;
 	if (now_ms - target->unresponsive_since_ms >= UNRESPONSIVE_TIMEOUT_MS)
 		set_unresponsive(agent, 1);
-	if (now_ms - target->unresponsive_since_ms >= DY_TARGET_LOST_MS &&
+	if (now_ms - target->unresponsive_since_ms >=
+		    DY_TARGET_LOST_TIMEOUT_MS &&
 	    agent->state == DY_MEMBER_SERVING &&
 	    dy_sessions_count(agent->sessions) &&
 	    agent_member_choose_successors(agent, successors))
-		dy_agent_leave(agent, "target_lost", 0);
+		dy_agent_drain(agent, "target_lost", 0);
 }
 
 static int is_link_needed(const dy_agent_t *agent, unsigned index)
--- a/src/process/command/operator.h
+++ b/src/process/command/operator.h
@@ -51,8 +51,8 @@
 		  .help = "who does it; else the user's name" },           \
 	{                                                                  \
 		.flag = "timeout-ms", .kind = DY_SETTING_NUMBER,           \
-		.value = &operator_values.timeout_ms, .fallback = "10000", \
-		.least = 100, .most = 600000, .argument = "MS",            \
+		.value = &operator_values.timeout_ms, .default_text = "10000", \
+		.min = 100, .max = 600000, .argument = "MS",            \
 		.help = "give up after so long without an answer"          \
 	}
 
--- a/tests/fake_agents.c
+++ b/tests/fake_agents.c
@@ -63,7 +63,8 @@
 	if (reply->verifier.flavor != AUTH_SHORT)
 		return;
 	token.body = reply->verifier.body + 8;
-	if (dy_token_load(from->ring, &token, &caller->fields) != DY_TOKEN_OK)
+	if (dy_token_load(from->keyring, &token, &caller->token_fields) !=
+	    DY_TOKEN_OK)
 		world_violation("agent issued an invalid token", 0);
 	memcpy(caller->token, token.body, DY_TOKEN_BYTES);
 	caller->has_token = 1;
@@ -115,7 +116,7 @@
 	call->answered |= refusal.verdict == DY_RAN;
 	if (call->procedure != FAKE_SUBMIT || refusal.verdict != DY_NOT_RUN)
 		return;
-	call->not_run = 1;
+	call->reported_not_run = 1;
 	if (call->runs)
 		world_violation("reported as not run after it ran", id);
 }
@@ -123,7 +124,7 @@
 static void check_cancel(fake_world_t *world, const fake_call_t *cancel,
 			 const dy_rpc_reply_t *reply)
 {
-	fake_call_t *call = &world->calls[cancel->meant];
+	fake_call_t *call = &world->calls[cancel->cancelled_id];
 	dy_refusal_t *result = &world->cancel_result;
 	XDR xdrs;
 
@@ -136,11 +137,11 @@
 		return;
 	if (result->verdict == DY_NOT_RUN && call->runs)
 		world_violation("cancelled as not run after it ran",
-				cancel->meant);
+				cancel->cancelled_id);
 	if (result->verdict == DY_RAN && !call->runs)
 		world_violation("cancel result is that it ran, but it did not",
-				cancel->meant);
-	call->not_run |= result->verdict == DY_NOT_RUN;
+				cancel->cancelled_id);
+	call->reported_not_run |= result->verdict == DY_NOT_RUN;
 }
 
 static void on_answer(void *context, const dy_address_t *to,
@@ -199,7 +200,7 @@
 	message->to = to->port - 9000;
 	message->len = xdr_getpos(&xdrs);
 	message->bytes = g_memdup2(bytes, message->len);
-	g_queue_push_tail(&from->world->mail, message);
+	g_queue_push_tail(&from->world->messages, message);
 }
 
 static void on_relay(void *context, const dy_address_t *to,
@@ -221,7 +222,7 @@
 	fake_agent_t *agent = context;
 
 	(void)to;
-	agent->links[link].open = 1;
+	agent->links[link].requested = 1;
 }
 
 static void on_link_close(void *context, unsigned link)
@@ -237,7 +238,7 @@
 
 	if (call->procedure == FAKE_SUBMIT && call->runs)
 		world_violation("call ran twice", id);
-	if (call->not_run)
+	if (call->reported_not_run)
 		world_violation("call ran after it was reported as not run",
 				id);
 	call->runs++;
@@ -251,20 +252,21 @@
 	dy_rpc_call_t call;
 	uint32_t word;
 
-	if (agent->refuse_sends)
+	if (agent->fail_sends)
 		return -1;
 	if (!link->up || link->busy || dy_rpc_parse_call(bytes, len, &call))
 		world_violation("two calls on one connection", 0);
 	link->target_xid = call.xid;
-	link->probed = call.program == PROGRAM && call.procedure == NULLPROC;
-	if (link->probed)
+	link->probe_pending =
+		call.program == PROGRAM && call.procedure == NULLPROC;
+	if (link->probe_pending)
 		return 0;
 	link->busy = 1;
 	memcpy(&word, call.args + (call.args_len - 4), 4);
-	link->id = ntohl(word);
+	link->call_id = ntohl(word);
 	if (index == DY_AGENT_CANCEL_LINK)
 		return 0;
-	run_call(agent->world, link->id);
+	run_call(agent->world, link->call_id);
 	return 0;
 }
 
@@ -308,7 +310,7 @@
 
 static void on_left(void *context)
 {
-	((fake_agent_t *)context)->left = 1;
+	((fake_agent_t *)context)->has_left = 1;
 }
 
 static const dy_agent_callbacks_t callbacks = {
@@ -334,7 +336,7 @@
 	world->secrets.count = 1;
 	world->document = dy_document_parse(document_text,
 					    sizeof(document_text) - 1, NULL);
-	g_queue_init(&world->mail);
+	g_queue_init(&world->messages);
 	world->members = g_ptr_array_new_with_free_func(free_member);
 	for (i = 0; i < FAKE_CALLERS; i++)
 		world->callers[i].next_xid = 100000 * (i + 1);
@@ -358,22 +360,22 @@
 	unsigned i;
 
 	for (i = 0; i < FAKE_AGENTS; i++)
-		world_kill(world, i);
-	while (world_lose(world))
+		world_kill_agent(world, i);
+	while (world_drop_message(world))
 		;
 	g_ptr_array_free(world->members, TRUE);
 	dy_document_destroy(world->document);
 	g_free(world);
 }
 
-void world_kill(fake_world_t *world, unsigned index)
+void world_kill_agent(fake_world_t *world, unsigned index)
 {
 	fake_agent_t *agent = &world->agents[index];
 
 	if (!agent->agent)
 		return;
 	dy_agent_destroy(agent->agent);
-	dy_keyring_destroy(agent->ring);
+	dy_keyring_destroy(agent->keyring);
 	dy_metrics_destroy(agent->metrics);
 	agent->agent = NULL;
 	memset(agent->links, 0, sizeof(agent->links));
@@ -389,24 +391,25 @@
 	};
 	dy_announce_result_t result;
 
-	dy_agent_announce(agent->agent, &announcement, &result);
+	dy_agent_receive_announcement(agent->agent, &announcement, &result);
 	if (!dy_agent_service(agent->agent))
 		dy_agent_set_document(agent->agent, world->document);
 }
 
-void world_poll(fake_world_t *world, unsigned index)
+void world_poll_control(fake_world_t *world, unsigned index)
 {
 	fake_agent_t *agent = &world->agents[index];
 
 	if (!agent->agent)
 		return;
-	for (; agent->seen < world->members->len; agent->seen++)
-		dy_agent_member(agent->agent,
-				g_ptr_array_index(world->members, agent->seen));
+	for (; agent->members_seen < world->members->len; agent->members_seen++)
+		dy_agent_update_member(
+			agent->agent,
+			g_ptr_array_index(world->members, agent->members_seen));
 	dy_agent_caught_up(agent->agent);
 }
 
-void world_start(fake_world_t *world, unsigned index)
+void world_start_agent(fake_world_t *world, unsigned index)
 {
 	fake_agent_t *agent = &world->agents[index];
 	dy_key_info_t key = { .id = 1, .active = TRUE };
@@ -416,26 +419,26 @@
 				     .callbacks = &callbacks,
 				     .context = agent };
 
-	world_kill(world, index);
+	world_kill_agent(world, index);
 	agent->metrics = dy_metrics_create();
-	agent->ring = dy_keyring_create(&world->secrets);
-	dy_keyring_apply(agent->ring, &key);
+	agent->keyring = dy_keyring_create(&world->secrets);
+	dy_keyring_apply(agent->keyring, &key);
 	config.seed = 1 + world->members->len;
 	config.metrics = agent->metrics;
-	config.keyring = agent->ring;
+	config.keyring = agent->keyring;
 	world_address(&config.address, index);
 	agent->agent = dy_agent_create(&config);
 	agent->incarnation = world->members->len + 1;
 	agent->target_incarnation = agent->incarnation;
-	agent->seen = 0;
-	agent->left = 0;
-	agent->announcing = 1;
+	agent->members_seen = 0;
+	agent->has_left = 0;
+	agent->target_up = 1;
 	publish_member(agent, DY_MEMBER_SERVING, FAKE_SLOTS, NULL, 0);
-	dy_agent_grant(agent->agent, agent->incarnation);
+	dy_agent_set_incarnation(agent->agent, agent->incarnation);
 	dy_agent_set_lease(agent->agent, 1);
 	world_announce(world, index, 0);
-	world_poll(world, index);
-	world_pass(world, 100);
+	world_poll_control(world, index);
+	world_advance(world, 100);
 }
 
 static void answer_probe(fake_agent_t *agent, unsigned index)
@@ -444,7 +447,7 @@
 	uint8_t out[64];
 	size_t len = dy_rpc_write_reply(&reply, out, sizeof(out));
 
-	agent->links[index].probed = 0;
+	agent->links[index].probe_pending = 0;
 	dy_agent_link_receive(agent->agent, index, out, len);
 }
 
@@ -452,19 +455,19 @@
 {
 	unsigned i;
 
-	if (!agent->announcing)
+	if (!agent->target_up)
 		return;
 	for (i = 0; i < DY_AGENT_LINKS; i++) {
-		if (agent->links[i].open && !agent->links[i].up) {
+		if (agent->links[i].requested && !agent->links[i].up) {
 			agent->links[i].up = 1;
 			dy_agent_link_up(agent->agent, i);
 		}
-		if (agent->links[i].probed && !agent->frozen)
+		if (agent->links[i].probe_pending && !agent->target_frozen)
 			answer_probe(agent, i);
 	}
 }
 
-void world_pass(fake_world_t *world, unsigned ms)
+void world_advance(fake_world_t *world, unsigned ms)
 {
 	fake_agent_t *agent;
 	unsigned i;
@@ -477,7 +480,7 @@
 			agent = &world->agents[i];
 			if (!agent->agent)
 				continue;
-			if (agent->announcing)
+			if (agent->target_up)
 				world_announce(world, i, 0);
 			dy_agent_tick(agent->agent);
 			bring_up_links(agent);
@@ -493,7 +496,7 @@
 
 	if (!xdr_dy_handover_t(xdrs, &handover))
 		world_violation("handover cannot be decoded", 0);
-	dy_agent_take_handover(to->agent, &handover, &result);
+	dy_agent_receive_handover(to->agent, &handover, &result);
 	world_address(&address, from);
 	send_message(to, MESSAGE_HANDOVER_RESULT, &address,
 		     (xdrproc_t)xdr_dy_handover_result_t, &result);
@@ -507,7 +510,7 @@
 
 	if (!xdr_dy_handover_result_t(xdrs, &result))
 		world_violation("handover result cannot be decoded", 0);
-	dy_agent_handover_result(to->agent, &result);
+	dy_agent_receive_handover_result(to->agent, &result);
 	xdr_free((xdrproc_t)xdr_dy_handover_result_t, (char *)&result);
 }
 
@@ -519,7 +522,7 @@
 	if (!xdr_dy_forward_t(xdrs, &forward))
 		world_violation("forward cannot be decoded", 0);
 	world_address(&address, from);
-	dy_agent_forward(to->agent, &address, &forward);
+	dy_agent_receive_forward(to->agent, &address, &forward);
 	xdr_free((xdrproc_t)xdr_dy_forward_t, (char *)&forward);
 }
 
@@ -540,9 +543,9 @@
 		deliver_forward(to, message->from, &xdrs);
 }
 
-int world_deliver(fake_world_t *world)
+int world_deliver_message(fake_world_t *world)
 {
-	message_t *message = g_queue_pop_head(&world->mail);
+	message_t *message = g_queue_pop_head(&world->messages);
 
 	if (!message)
 		return 0;
@@ -551,9 +554,9 @@
 	return 1;
 }
 
-int world_lose(fake_world_t *world)
+int world_drop_message(fake_world_t *world)
 {
-	message_t *message = g_queue_pop_head(&world->mail);
+	message_t *message = g_queue_pop_head(&world->messages);
 
 	if (!message)
 		return 0;
@@ -561,41 +564,41 @@
 	return 1;
 }
 
-int world_double(fake_world_t *world)
+int world_duplicate_message(fake_world_t *world)
 {
-	message_t *message = g_queue_peek_head(&world->mail);
+	message_t *message = g_queue_peek_head(&world->messages);
 	message_t *copy;
 
 	if (!message)
 		return 0;
 	copy = g_memdup2(message, sizeof(*message));
 	copy->bytes = g_memdup2(message->bytes, message->len);
-	g_queue_push_tail(&world->mail, copy);
+	g_queue_push_tail(&world->messages, copy);
 	return 1;
 }
 
-int world_reorder(fake_world_t *world)
+int world_reorder_message(fake_world_t *world)
 {
-	message_t *message = g_queue_pop_head(&world->mail);
+	message_t *message = g_queue_pop_head(&world->messages);
 
 	if (message)
-		g_queue_push_tail(&world->mail, message);
+		g_queue_push_tail(&world->messages, message);
 	return !!message;
 }
 
-void world_settle(fake_world_t *world)
+void world_converge(fake_world_t *world)
 {
 	unsigned turns;
 	unsigned i;
 
 	for (turns = 0; turns < 40; turns++) {
-		while (world_deliver(world))
+		while (world_deliver_message(world))
 			;
 		for (i = 0; i < FAKE_AGENTS; i++) {
-			world_poll(world, i);
+			world_poll_control(world, i);
 			if (world->agents[i].agent)
 				world_answer_all(world, i);
 		}
-		world_pass(world, STEP_MS);
+		world_advance(world, STEP_MS);
 	}
 }
