--- a/src/process/group/raft.c
+++ b/src/process/group/raft.c
@@ -8,11 +8,14 @@
 #define DEFAULT_HEARTBEAT_MS 30
 #define DEFAULT_SNAPSHOT_ENTRIES 10000
 #define DEFAULT_SNAPSHOT_BYTES (8u << 20)
-/* Callbacks may propose again; what is beyond this waits for the next turn. */
-#define FLUSH_PASSES 4
-/* Lines about refused messages: a few show who sends them. */
-#define REFUSAL_LINES 5
-#define REFUSAL_PERIOD_MS 10000
+/*
+ * Callbacks may create new work. Work left after this many passes waits for
+ * the next flush.
+ */
+#define FLUSH_MAX_PASSES 4
+/* Rate limit of log lines about refused messages: a few show the sender. */
+#define REFUSAL_LOG_LINES 5
+#define REFUSAL_LOG_PERIOD_MS 10000
 
 void raft_fail(dy_raft_t *raft, GError *error)
 {
@@ -46,8 +49,8 @@
 	return 0;
 }
 
-void raft_begin_message(const dy_raft_t *raft, dy_raft_message_t *message,
-			dy_raft_kind_t kind, dy_voter_id_t to)
+void raft_init_message(const dy_raft_t *raft, dy_raft_message_t *message,
+		       dy_raft_kind_t kind, dy_voter_id_t to)
 {
 	memset(message, 0, sizeof(*message));
 	message->group = dy_store_group(raft->store);
@@ -58,21 +61,21 @@
 	message->body.kind = kind;
 }
 
-void raft_queue(dy_raft_t *raft, const dy_raft_message_t *message)
+void raft_enqueue(dy_raft_t *raft, const dy_raft_message_t *message)
 {
 	g_array_append_vals(raft->outbox, message, 1);
 }
 
-void raft_end(dy_raft_t *raft, const waiting_t *waiting,
-	      dy_raft_result_t result, uint64_t index)
+void raft_complete(dy_raft_t *raft, const pending_t *pending,
+		   dy_raft_result_t result, uint64_t index)
 {
-	waiting_t ended = *waiting;
+	pending_t completed = *pending;
 
-	ended.result = result;
-	ended.index = index;
+	completed.result = result;
+	completed.index = index;
 	if (result == DY_RAFT_UNKNOWN)
 		(*raft->counters.unknown)++;
-	g_array_append_val(raft->ended, ended);
+	g_array_append_val(raft->completed, completed);
 }
 
 uint64_t raft_append(dy_raft_t *raft, dy_entry_type_t type, const void *data,
@@ -146,15 +149,15 @@
 
 static void create_arrays(dy_raft_t *raft)
 {
-	placed_config_t none = { 0 };
+	indexed_config_t none = { 0 };
 
-	raft->configs = g_array_new(FALSE, TRUE, sizeof(placed_config_t));
+	raft->configs = g_array_new(FALSE, TRUE, sizeof(indexed_config_t));
 	g_array_append_val(raft->configs, none);
 	raft->peers = g_array_new(FALSE, TRUE, sizeof(peer_t));
 	raft->outbox = g_array_new(FALSE, FALSE, sizeof(dy_raft_message_t));
-	raft->proposals = g_array_new(FALSE, FALSE, sizeof(waiting_t));
-	raft->reads = g_array_new(FALSE, FALSE, sizeof(waiting_t));
-	raft->ended = g_array_new(FALSE, FALSE, sizeof(waiting_t));
+	raft->proposals = g_array_new(FALSE, FALSE, sizeof(pending_t));
+	raft->reads = g_array_new(FALSE, FALSE, sizeof(pending_t));
+	raft->completed = g_array_new(FALSE, FALSE, sizeof(pending_t));
 }
 
 dy_raft_t *dy_raft_create(dy_store_t *store, const dy_raft_options_t *options,
@@ -162,7 +165,7 @@
 			  GError **error)
 {
 	dy_log_limit_t limit =
-		DY_LOG_LIMIT_INIT(REFUSAL_LINES, REFUSAL_PERIOD_MS);
+		DY_LOG_LIMIT_INIT(REFUSAL_LOG_LINES, REFUSAL_LOG_PERIOD_MS);
 	dy_raft_t *raft = g_new0(dy_raft_t, 1);
 
 	raft->store = store;
@@ -180,7 +183,7 @@
 	dy_assert(dy_store_entry_term(store, dy_store_last_index(store)) <=
 		  raft->term);
 	raft_reload_configs(raft);
-	raft_expect_leader(raft);
+	raft_reset_first_election_timer(raft);
 	if (!dy_store_snapshot(store) || !raft_load_snapshot(raft))
 		return raft;
 	g_propagate_error(error, g_error_copy(raft->failure));
@@ -188,22 +191,22 @@
 	return NULL;
 }
 
-static void tell_ended(dy_raft_t *raft)
+static void run_done_callbacks(dy_raft_t *raft)
 {
-	GArray *ended = raft->ended;
-	const waiting_t *waiting;
+	GArray *completed = raft->completed;
+	const pending_t *pending;
 	guint i;
 
-	if (!ended->len)
+	if (!completed->len)
 		return;
-	raft->ended = g_array_new(FALSE, FALSE, sizeof(waiting_t));
-	for (i = 0; i < ended->len; i++) {
-		waiting = &g_array_index(ended, waiting_t, i);
-		if (waiting->done)
-			waiting->done(waiting->context, waiting->result,
-				      waiting->index);
+	raft->completed = g_array_new(FALSE, FALSE, sizeof(pending_t));
+	for (i = 0; i < completed->len; i++) {
+		pending = &g_array_index(completed, pending_t, i);
+		if (pending->done)
+			pending->done(pending->context, pending->result,
+				      pending->index);
 	}
-	g_array_free(ended, TRUE);
+	g_array_free(completed, TRUE);
 }
 
 void dy_raft_destroy(dy_raft_t *raft)
@@ -212,16 +215,16 @@
 		return;
 	raft_step_down(raft, raft->term);
 	raft_end_transfer(raft, DY_RAFT_BUSY);
-	tell_ended(raft);
+	run_done_callbacks(raft);
 	raft_pop_configs(raft, 0);
 	dy_config_drop(
-		&g_array_index(raft->configs, placed_config_t, 0).config);
+		&g_array_index(raft->configs, indexed_config_t, 0).config);
 	g_array_free(raft->configs, TRUE);
 	g_array_free(raft->peers, TRUE);
 	g_array_free(raft->outbox, TRUE);
 	g_array_free(raft->proposals, TRUE);
 	g_array_free(raft->reads, TRUE);
-	g_array_free(raft->ended, TRUE);
+	g_array_free(raft->completed, TRUE);
 	g_rand_free(raft->rand);
 	g_clear_error(&raft->failure);
 	dy_metrics_destroy(raft->own_metrics);
@@ -244,7 +247,7 @@
 	data = dy_config_encode(&config, &size);
 	raft_append(raft, DY_ENTRY_CONFIG, data, size);
 	g_free(data);
-	raft->election_at_ms = raft->now_ms;
+	raft->election_deadline_ms = raft->now_ms;
 	return DY_RAFT_DONE;
 }
 
@@ -260,13 +263,14 @@
 }
 
 /*
- * Whether message concerns this member. A control that lost its disk comes
- * back with a new identity: what is meant for the old one is not for it, and
- * a member that was removed has no say. A sender that is in neither the
- * newest nor the committed configuration known here is heard only if it
- * knows a newer one, as a leader that was added while this member was away.
+ * Whether message is for this member and from a member of its group. A
+ * control that lost its disk returns with a new identity, so messages for the
+ * old identity are refused, as are those of a removed member. A sender in
+ * neither the newest nor the committed configuration here is accepted only if
+ * it has a newer configuration, as a leader that was added while this member
+ * was down.
  */
-static int admit(dy_raft_t *raft, const dy_raft_message_t *message)
+static int check_addressing(dy_raft_t *raft, const dy_raft_message_t *message)
 {
 	dy_raft_message_t refusal;
 
@@ -279,28 +283,29 @@
 		       "identity");
 		return 0;
 	}
-	if (raft_knows_member(raft, message->from) ||
+	if (raft_is_known_member(raft, message->from) ||
 	    message->config_index > raft_newest_config(raft)->index)
 		return 1;
 	refuse(raft, message, raft->counters.refused_member, "member");
 	if (message->body.kind == DY_RAFT_VOTE) {
-		raft_begin_message(raft, &refusal, DY_RAFT_REFUSAL,
-				   message->from);
-		raft_queue(raft, &refusal);
+		raft_init_message(raft, &refusal, DY_RAFT_REFUSAL,
+				  message->from);
+		raft_enqueue(raft, &refusal);
 	}
 	return 0;
 }
 
-/* Tell a leader or candidate of an older term that it is not current. */
-static void answer_old_term(dy_raft_t *raft, const dy_raft_message_t *message)
+/* Send the current term to a leader of an older term, which steps down. */
+static void reply_to_stale_term(dy_raft_t *raft,
+				const dy_raft_message_t *message)
 {
 	dy_raft_message_t reply;
 
 	if (message->body.kind != DY_RAFT_APPEND &&
 	    message->body.kind != DY_RAFT_SNAPSHOT)
 		return;
-	raft_begin_message(raft, &reply, DY_RAFT_APPEND_REPLY, message->from);
-	raft_queue(raft, &reply);
+	raft_init_message(raft, &reply, DY_RAFT_APPEND_REPLY, message->from);
+	raft_enqueue(raft, &reply);
 }
 
 static void dispatch(dy_raft_t *raft, const dy_raft_message_t *message)
@@ -333,7 +338,7 @@
 		     uint64_t now_ms)
 {
 	raft->now_ms = MAX(raft->now_ms, now_ms);
-	if (raft->failed || !admit(raft, message))
+	if (raft->failed || !check_addressing(raft, message))
 		return;
 	if (message->body.kind == DY_RAFT_VOTE) {
 		raft_handle_vote(raft, message);
@@ -346,38 +351,43 @@
 	if (message->term > raft->term)
 		raft_step_down(raft, message->term);
 	if (message->term < raft->term)
-		answer_old_term(raft, message);
+		reply_to_stale_term(raft, message);
 	else
 		dispatch(raft, message);
 }
 
 /*
- * Guards against a member that was late itself, as one on a small part of a
- * core that a crowd of questions keeps busy, or one that was stopped. It would
- * take the time for the others' silence, though what they said waits in its
- * socket: a leader would give up its majority, a follower call an election, and
- * all start again in the same crowd. What it missed beyond a heartbeat counts
- * for nobody's silence. No read rests on these times: a majority confirms each.
+ * Exclude the time that this member itself did not run from the timeouts of
+ * the others.
+ *
+ * Load pattern: a member on a fraction of a core is busy with a burst of
+ * requests for longer than a heartbeat interval, or its VM is paused. The
+ * messages of the others wait in its socket, but it would count the delay as
+ * their timeout: a leader would step down for lack of a quorum, a follower
+ * would start an election, and the next leader would meet the same burst.
+ *
+ * Only the delay beyond one heartbeat interval is excluded. Reads do not
+ * depend on these times, since a majority confirms each of them.
  */
-static void forgive_own_delay(dy_raft_t *raft)
+static void exclude_own_delay(dy_raft_t *raft)
 {
-	uint64_t last_ms = raft->ticked_ms;
+	uint64_t last_ms = raft->last_tick_ms;
 	uint64_t missed_ms;
 	peer_t *peer;
 	guint i;
 
-	raft->ticked_ms = raft->now_ms;
+	raft->last_tick_ms = raft->now_ms;
 	if (!last_ms || raft->now_ms - last_ms <= raft->options.heartbeat_ms)
 		return;
 	missed_ms = raft->now_ms - last_ms - raft->options.heartbeat_ms;
-	raft->election_at_ms =
-		MIN(raft->election_at_ms + missed_ms,
+	raft->election_deadline_ms =
+		MIN(raft->election_deadline_ms + missed_ms,
 		    raft->now_ms + 2 * raft->options.election_ms);
 	for (i = 0; i < raft->peers->len; i++) {
 		peer = raft_peer_at(raft, i);
-		if (peer->heard_ms)
-			peer->heard_ms =
-				MIN(peer->heard_ms + missed_ms, raft->now_ms);
+		if (peer->last_reply_ms)
+			peer->last_reply_ms = MIN(
+				peer->last_reply_ms + missed_ms, raft->now_ms);
 	}
 }
 
@@ -386,7 +396,7 @@
 	raft->now_ms = MAX(raft->now_ms, now_ms);
 	if (raft->failed)
 		return;
-	forgive_own_delay(raft);
+	exclude_own_delay(raft);
 	raft_tick_transfer(raft);
 	if (raft->role == DY_RAFT_LEADER) {
 		if (dy_raft_has_quorum(raft))
@@ -395,18 +405,18 @@
 		dy_log_event(DY_LOG_WARN, "raft_quorum_lost", "term=%llu",
 			     (unsigned long long)raft->term);
 		raft_step_down(raft, raft->term);
-	} else if (raft->now_ms >= raft->election_at_ms) {
+	} else if (raft->now_ms >= raft->election_deadline_ms) {
 		if (raft_is_voter(raft))
 			raft_start_election(raft, 1, 0);
 		else
-			raft_reset_election(raft);
+			raft_reset_election_timer(raft);
 	}
 }
 
 static void apply_committed(dy_raft_t *raft)
 {
 	const dy_raft_entry_t *entry;
-	const waiting_t *first;
+	const pending_t *first;
 
 	while (raft->applied_index < raft->commit_index) {
 		entry = dy_store_find_entry(raft->store,
@@ -416,11 +426,11 @@
 		raft->applied_index++;
 		dy_assert(raft->applied_index <= raft->commit_index);
 		while (raft->proposals->len) {
-			first = &g_array_index(raft->proposals, waiting_t, 0);
+			first = &g_array_index(raft->proposals, pending_t, 0);
 			if (first->index > raft->applied_index)
 				break;
 			dy_assert(first->term == entry->term);
-			raft_end(raft, first, DY_RAFT_DONE, first->index);
+			raft_complete(raft, first, DY_RAFT_DONE, first->index);
 			g_array_remove_index(raft->proposals, 0);
 		}
 	}
@@ -437,20 +447,20 @@
 	g_array_set_size(raft->outbox, 0);
 }
 
-static void tell_changes(dy_raft_t *raft)
+static void run_callbacks(dy_raft_t *raft)
 {
-	tell_ended(raft);
-	if (raft->role != raft->told_role ||
-	    !dy_voter_id_equal(raft->leader, raft->told_leader)) {
-		raft->told_role = raft->role;
-		raft->told_leader = raft->leader;
+	run_done_callbacks(raft);
+	if (raft->role != raft->reported_role ||
+	    !dy_voter_id_equal(raft->leader, raft->reported_leader)) {
+		raft->reported_role = raft->role;
+		raft->reported_leader = raft->leader;
 		if (raft->callbacks.leadership_changed)
 			raft->callbacks.leadership_changed(
 				raft->callbacks.context, raft->role,
 				raft->leader);
 	}
-	if (raft->failed && !raft->failure_told) {
-		raft->failure_told = 1;
+	if (raft->failed && !raft->failure_reported) {
+		raft->failure_reported = 1;
 		if (raft->callbacks.failed)
 			raft->callbacks.failed(raft->callbacks.context,
 					       raft->failure);
@@ -458,9 +468,10 @@
 }
 
 /*
- * Term and vote are durable before any message leaves. A leader's appends
- * leave before its own sync, which then overlaps with the others': it counts
- * itself only once synced. Answers leave after it, since they acknowledge.
+ * Term and vote are durable before any message is sent. A leader sends its
+ * appends before its own sync, so that it overlaps with the followers' syncs;
+ * it counts itself for the commit only after its sync. Replies are sent after
+ * the sync, since they acknowledge what was synced.
  */
 static void flush_once(dy_raft_t *raft)
 {
@@ -469,7 +480,7 @@
 	if (raft_persist_vote(raft))
 		return;
 	if (raft->role == DY_RAFT_LEADER) {
-		raft_start_round(raft);
+		raft_start_read_round(raft);
 		raft_send_to_peers(raft);
 	}
 	if (dy_store_sync(raft->store, &error)) {
@@ -480,16 +491,16 @@
 	if (raft->role == DY_RAFT_LEADER)
 		raft_advance_commit(raft);
 	apply_committed(raft);
-	raft_finish_reads(raft);
+	raft_complete_reads(raft);
 	raft_write_snapshot(raft);
 }
 
 static int has_work(const dy_raft_t *raft)
 {
-	return !raft->failed &&
-	       (raft->outbox->len || raft->ended->len || raft->vote_changed ||
-		dy_store_synced_index(raft->store) <
-			dy_store_last_index(raft->store));
+	return !raft->failed && (raft->outbox->len || raft->completed->len ||
+				 raft->vote_changed ||
+				 dy_store_synced_index(raft->store) <
+					 dy_store_last_index(raft->store));
 }
 
 void dy_raft_flush(dy_raft_t *raft)
@@ -498,15 +509,15 @@
 
 	do {
 		flush_once(raft);
-		tell_changes(raft);
-	} while (has_work(raft) && ++passes < FLUSH_PASSES);
+		run_callbacks(raft);
+	} while (has_work(raft) && ++passes < FLUSH_MAX_PASSES);
 }
 
 dy_raft_result_t dy_raft_propose(dy_raft_t *raft, const void *data,
 				 uint32_t size, dy_raft_done_cb_t *done,
 				 void *context)
 {
-	waiting_t waiting = { .done = done, .context = context };
+	pending_t pending = { .done = done, .context = context };
 
 	if (raft->failed || raft->role != DY_RAFT_LEADER)
 		return DY_RAFT_NOT_LEADER;
@@ -514,8 +525,8 @@
 		return DY_RAFT_REFUSED;
 	if (raft->transfer.done)
 		return DY_RAFT_BUSY;
-	waiting.index = raft_append(raft, DY_ENTRY_COMMAND, data, size);
-	waiting.term = raft->term;
-	g_array_append_val(raft->proposals, waiting);
+	pending.index = raft_append(raft, DY_ENTRY_COMMAND, data, size);
+	pending.term = raft->term;
+	g_array_append_val(raft->proposals, pending);
 	return DY_RAFT_DONE;
 }
--- a/src/process/group/raft_election.c
+++ b/src/process/group/raft_election.c
@@ -2,57 +2,62 @@
 
 #include "damaskyard/invariant.h"
 
-/* Beyond these in a row the first elections are as far apart as all others. */
-#define LOST_ELECTIONS_MOST 8u
+/* By this many doublings the timeout has reached election_ms. */
+#define FIRST_ELECTION_MAX_DOUBLINGS 8u
 
-static const dy_voter_id_t nobody;
+static const dy_voter_id_t no_member;
 
-void raft_reset_election(dy_raft_t *raft)
+void raft_reset_election_timer(dy_raft_t *raft)
 {
-	uint32_t least = raft->options.election_ms;
+	uint32_t min_ms = raft->options.election_ms;
 
-	raft->election_at_ms = raft->now_ms + least +
-			       g_rand_int_range(raft->rand, 0, (gint32)least);
+	raft->election_deadline_ms =
+		raft->now_ms + min_ms +
+		g_rand_int_range(raft->rand, 0, (gint32)min_ms);
 }
 
 /*
- * Sooner than raft_reset_election(), and later with each election that was
- * lost: where votes take long to be synced, waiting too short elects nobody.
+ * The timeout is shorter than that of raft_reset_election_timer() and doubles
+ * with each lost election: where votes are slow to sync, a timeout that stays
+ * short expires before any candidate has a majority.
  */
-void raft_expect_leader(dy_raft_t *raft)
+void raft_reset_first_election_timer(dy_raft_t *raft)
 {
-	uint32_t least = MIN(raft->options.first_election_ms << MIN(
-				     raft->lost_elections, LOST_ELECTIONS_MOST),
-			     raft->options.election_ms);
-
-	raft->election_at_ms = raft->now_ms + least +
-			       g_rand_int_range(raft->rand, 0, (gint32)least);
+	uint32_t min_ms =
+		MIN(raft->options.first_election_ms << MIN(
+			    raft->lost_elections, FIRST_ELECTION_MAX_DOUBLINGS),
+		    raft->options.election_ms);
+
+	raft->election_deadline_ms =
+		raft->now_ms + min_ms +
+		g_rand_int_range(raft->rand, 0, (gint32)min_ms);
 }
 
 static void set_leader(dy_raft_t *raft, dy_voter_id_t leader)
 {
-	dy_assert(raft->seen_leader_term < raft->term ||
-		  dy_voter_id_equal(raft->seen_leader, leader));
-	raft->seen_leader_term = raft->term;
-	raft->seen_leader = leader;
+	dy_assert(raft->last_leader_term < raft->term ||
+		  dy_voter_id_equal(raft->last_leader, leader));
+	raft->last_leader_term = raft->term;
+	raft->last_leader = leader;
 	raft->leader = leader;
 	raft->leader_heard_ms = raft->now_ms;
 }
 
 /*
- * What waits here cannot be answered by this member any more. It is ended at
- * once, rather than held until somebody's deadline.
+ * This member cannot complete its pending proposals and reads any more. They
+ * fail at once, so that no caller waits until its deadline.
  */
-static void end_waiting(dy_raft_t *raft)
+static void fail_pending(dy_raft_t *raft)
 {
 	guint i;
 
 	for (i = 0; i < raft->proposals->len; i++)
-		raft_end(raft, &g_array_index(raft->proposals, waiting_t, i),
-			 DY_RAFT_UNKNOWN, 0);
+		raft_complete(raft,
+			      &g_array_index(raft->proposals, pending_t, i),
+			      DY_RAFT_UNKNOWN, 0);
 	for (i = 0; i < raft->reads->len; i++)
-		raft_end(raft, &g_array_index(raft->reads, waiting_t, i),
-			 DY_RAFT_NOT_LEADER, 0);
+		raft_complete(raft, &g_array_index(raft->reads, pending_t, i),
+			      DY_RAFT_NOT_LEADER, 0);
 	g_array_set_size(raft->proposals, 0);
 	g_array_set_size(raft->reads, 0);
 }
@@ -62,29 +67,29 @@
 	dy_assert(term >= raft->term);
 	if (term > raft->term) {
 		raft->term = term;
-		raft->vote = nobody;
+		raft->vote = no_member;
 		raft->vote_changed = 1;
-		raft->leader = nobody;
+		raft->leader = no_member;
 	}
 	if (raft->role == DY_RAFT_LEADER) {
-		raft->leader = nobody;
-		end_waiting(raft);
+		raft->leader = no_member;
+		fail_pending(raft);
 	}
 	if (raft->role != DY_RAFT_FOLLOWER)
-		raft_reset_election(raft);
+		raft_reset_election_timer(raft);
 	raft->role = DY_RAFT_FOLLOWER;
 }
 
-void raft_follow(dy_raft_t *raft, dy_voter_id_t leader)
+void raft_follow_leader(dy_raft_t *raft, dy_voter_id_t leader)
 {
 	dy_assert(raft->role != DY_RAFT_LEADER);
 	raft_step_down(raft, raft->term);
 	set_leader(raft, leader);
-	raft_reset_election(raft);
+	raft_reset_election_timer(raft);
 	raft_end_transfer(raft, DY_RAFT_DONE);
 }
 
-static void win(dy_raft_t *raft)
+static void become_leader(dy_raft_t *raft)
 {
 	uint64_t next = dy_store_last_index(raft->store) + 1;
 	peer_t *peer;
@@ -96,17 +101,18 @@
 		peer = raft_peer_at(raft, i);
 		peer->next_index = next;
 		peer->match_index = 0;
-		peer->heard_ms = raft->now_ms;
-		peer->round = 0;
+		peer->last_reply_ms = raft->now_ms;
+		peer->acked_round = 0;
 		peer->sent_round = 0;
-		peer->awaited_ms = 0;
-		peer->heartbeat_ms = 0;
+		peer->reply_deadline_ms = 0;
+		peer->next_heartbeat_ms = 0;
 		peer->snapshot_index = 0;
 	}
 	raft->confirmed_round = raft->round;
 	/*
-	 * Entries of earlier terms are never committed by counting copies: a
-	 * later leader might still replace them. This entry carries them.
+	 * Entries of earlier terms are never committed by counting replicas,
+	 * since a later leader might still replace them. Committing this
+	 * entry commits them.
 	 */
 	raft->term_start_index = raft_append(raft, DY_ENTRY_NOOP, NULL, 0);
 	(*raft->counters.won)++;
@@ -121,19 +127,19 @@
 
 	for (i = 0; i < raft->peers->len; i++)
 		granted += raft_peer_at(raft, i)->voter &&
-			   raft_peer_at(raft, i)->granted;
+			   raft_peer_at(raft, i)->vote_granted;
 	if (granted < raft_majority(raft))
 		return;
 	if (raft->role == DY_RAFT_PRE_CANDIDATE)
 		raft_start_election(raft, 0, 0);
 	else
-		win(raft);
+		become_leader(raft);
 }
 
 /*
- * A pre-vote asks whether an election would be won, before the term grows.
- * Without it a member that returns from behind a cut carries a greater term
- * and forces the leader out for nothing.
+ * A pre-vote finds out whether an election would be won, before the term is
+ * incremented. Without it a member that returns from a partition has a greater
+ * term and forces a healthy leader to step down.
  */
 void raft_start_election(dy_raft_t *raft, int pre, int transfer)
 {
@@ -146,7 +152,7 @@
 	if (raft->role == DY_RAFT_CANDIDATE)
 		raft->lost_elections++;
 	raft->role = pre ? DY_RAFT_PRE_CANDIDATE : DY_RAFT_CANDIDATE;
-	raft->leader = nobody;
+	raft->leader = no_member;
 	(*(pre ? raft->counters.pre_votes : raft->counters.elections))++;
 	if (!pre) {
 		raft->term++;
@@ -154,25 +160,25 @@
 		raft->vote_changed = 1;
 	}
 	/*
-	 * After a loss of power the others may be starting too: ask again as
-	 * soon as one that has just started would, until a leader was seen.
-	 * So too where two called at once and neither won.
+	 * Until a leader was heard, retry after the short first timeout: after
+	 * a power loss the others may still be starting, or two candidates may
+	 * have split the votes.
 	 */
-	if (!raft->seen_leader_term)
-		raft_expect_leader(raft);
+	if (!raft->last_leader_term)
+		raft_reset_first_election_timer(raft);
 	else
-		raft_reset_election(raft);
+		raft_reset_election_timer(raft);
 	for (i = 0; i < raft->peers->len; i++) {
 		peer = raft_peer_at(raft, i);
-		peer->granted = 0;
+		peer->vote_granted = 0;
 		if (!peer->voter)
 			continue;
-		raft_begin_message(raft, &message, DY_RAFT_VOTE, peer->id);
+		raft_init_message(raft, &message, DY_RAFT_VOTE, peer->id);
 		vote->last_index = last;
 		vote->last_term = dy_store_entry_term(raft->store, last);
 		vote->pre = pre;
 		vote->transfer = transfer;
-		raft_queue(raft, &message);
+		raft_enqueue(raft, &message);
 	}
 	count_votes(raft);
 }
@@ -194,9 +200,10 @@
 	return vote->last_index >= last;
 }
 
-static int may_vote(const dy_raft_t *raft, const dy_raft_message_t *message)
+static int can_grant_vote(const dy_raft_t *raft,
+			  const dy_raft_message_t *message)
 {
-	/* One that knows more may know that this member became a voter. */
+	/* The candidate's newer configuration may have this member as voter. */
 	return (raft_is_voter(raft) ||
 		message->config_index > raft_newest_config(raft)->index) &&
 	       is_up_to_date(raft, &message->body.dy_raft_body_t_u.vote);
@@ -204,7 +211,7 @@
 
 static int grant_vote(dy_raft_t *raft, const dy_raft_message_t *message)
 {
-	if (message->term != raft->term || !may_vote(raft, message))
+	if (message->term != raft->term || !can_grant_vote(raft, message))
 		return 0;
 	if (raft->vote.identity &&
 	    !dy_voter_id_equal(raft->vote, message->from))
@@ -213,7 +220,7 @@
 		raft->vote = message->from;
 		raft->vote_changed = 1;
 	}
-	raft_reset_election(raft);
+	raft_reset_election_timer(raft);
 	return 1;
 }
 
@@ -226,22 +233,22 @@
 
 	if (vote->pre) {
 		granted = !alive && message->term >= raft->term &&
-			  may_vote(raft, message);
+			  can_grant_vote(raft, message);
 	} else {
-		/* One that cannot hear the leader must not depose it. */
+		/* A candidate cut off from the leader must not depose it. */
 		if (alive)
 			return;
 		if (message->term > raft->term)
 			raft_step_down(raft, message->term);
 		granted = grant_vote(raft, message);
 	}
-	raft_begin_message(raft, &reply, DY_RAFT_VOTE_REPLY, message->from);
-	/* Answers the asker's term, which this member has not taken up. */
+	raft_init_message(raft, &reply, DY_RAFT_VOTE_REPLY, message->from);
+	/* The reply has the candidate's term, which is not adopted here. */
 	if (vote->pre && granted)
 		reply.term = message->term;
 	reply.body.dy_raft_body_t_u.vote_reply.pre = vote->pre;
 	reply.body.dy_raft_body_t_u.vote_reply.granted = granted;
-	raft_queue(raft, &reply);
+	raft_enqueue(raft, &reply);
 }
 
 void raft_handle_vote_reply(dy_raft_t *raft, const dy_raft_message_t *message)
@@ -249,12 +256,12 @@
 	const dy_raft_vote_reply_t *reply =
 		&message->body.dy_raft_body_t_u.vote_reply;
 	peer_t *peer = raft_find_peer(raft, message->from);
-	dy_raft_role_t asked =
+	dy_raft_role_t expected_role =
 		reply->pre ? DY_RAFT_PRE_CANDIDATE : DY_RAFT_CANDIDATE;
 
-	if (!peer || !reply->granted || raft->role != asked)
+	if (!peer || !reply->granted || raft->role != expected_role)
 		return;
-	peer->granted = 1;
+	peer->vote_granted = 1;
 	count_votes(raft);
 }
 
@@ -270,7 +277,7 @@
 {
 	if (!raft->transfer.done)
 		return;
-	raft_end(raft, &raft->transfer, result, 0);
+	raft_complete(raft, &raft->transfer, result, 0);
 	raft->transfer.done = NULL;
 }
 
@@ -281,7 +288,7 @@
 
 	if (!raft->transfer.done)
 		return;
-	if (raft->now_ms >= raft->transfer_until_ms) {
+	if (raft->now_ms >= raft->transfer_deadline_ms) {
 		raft_end_transfer(raft, DY_RAFT_BUSY);
 		return;
 	}
@@ -289,14 +296,14 @@
 	if (raft->role != DY_RAFT_LEADER || !peer ||
 	    peer->match_index < dy_store_last_index(raft->store))
 		return;
-	raft_begin_message(raft, &message, DY_RAFT_TIMEOUT_NOW, peer->id);
-	raft_queue(raft, &message);
+	raft_init_message(raft, &message, DY_RAFT_TIMEOUT_NOW, peer->id);
+	raft_enqueue(raft, &message);
 }
 
 dy_raft_result_t dy_raft_transfer(dy_raft_t *raft, dy_raft_done_cb_t *done,
 				  void *context)
 {
-	waiting_t transfer = { .done = done, .context = context };
+	pending_t transfer = { .done = done, .context = context };
 	const peer_t *best = NULL;
 	const peer_t *peer;
 	guint i;
@@ -307,7 +314,7 @@
 		return DY_RAFT_BUSY;
 	for (i = 0; i < raft->peers->len; i++) {
 		peer = raft_peer_at(raft, i);
-		if (peer->voter && raft_peer_active(raft, peer) &&
+		if (peer->voter && raft_peer_is_active(raft, peer) &&
 		    (!best || peer->match_index > best->match_index))
 			best = peer;
 	}
@@ -315,6 +322,6 @@
 		return raft->peers->len ? DY_RAFT_BUSY : DY_RAFT_REFUSED;
 	raft->transfer = transfer;
 	raft->transfer_target = best->id;
-	raft->transfer_until_ms = raft->now_ms + raft->options.election_ms;
+	raft->transfer_deadline_ms = raft->now_ms + raft->options.election_ms;
 	return DY_RAFT_DONE;
 }
--- a/src/process/group/raft_member.c
+++ b/src/process/group/raft_member.c
@@ -5,30 +5,30 @@
 #include "damaskyard/invariant.h"
 
 /*
- * A configuration is in force as soon as its entry stands in the log,
- * committed or not, and no second change begins before the first and an
- * entry of the leader's own term are committed. One member at a time, any
- * majority of the old configuration meets any majority of the new one; with
- * two at once, two leaders could be elected by majorities that do not meet.
+ * A configuration is in force as soon as its entry is in the log, committed or
+ * not. No change starts before the previous one and an entry of the leader's
+ * own term are committed. If one member changes at a time, any majority of the
+ * old configuration overlaps any majority of the new one. If two changed at
+ * once, disjoint majorities could elect two leaders.
  */
 
-/* An entry lag that one message closes counts as caught up. */
-#define CAUGHT_UP_ENTRIES DY_RAFT_BATCH_ENTRIES
+/* A learner may be promoted if one message can close its lag. */
+#define PROMOTION_MAX_LAG_ENTRIES DY_RAFT_BATCH_ENTRIES
 
-const placed_config_t *raft_newest_config(const dy_raft_t *raft)
+const indexed_config_t *raft_newest_config(const dy_raft_t *raft)
 {
-	return &g_array_index(raft->configs, placed_config_t,
+	return &g_array_index(raft->configs, indexed_config_t,
 			      raft->configs->len - 1);
 }
 
-const placed_config_t *raft_config_at(const dy_raft_t *raft, uint64_t index)
+const indexed_config_t *raft_config_at(const dy_raft_t *raft, uint64_t index)
 {
 	guint i = raft->configs->len - 1;
 
 	while (i &&
-	       g_array_index(raft->configs, placed_config_t, i).index > index)
+	       g_array_index(raft->configs, indexed_config_t, i).index > index)
 		i--;
-	return &g_array_index(raft->configs, placed_config_t, i);
+	return &g_array_index(raft->configs, indexed_config_t, i);
 }
 
 static const dy_raft_member_t *find_member(const dy_raft_config_t *config,
@@ -48,9 +48,9 @@
 	return find_member(&raft_newest_config(raft)->config, id);
 }
 
-int raft_knows_member(const dy_raft_t *raft, dy_voter_id_t id)
+int raft_is_known_member(const dy_raft_t *raft, dy_voter_id_t id)
 {
-	const placed_config_t *committed =
+	const indexed_config_t *committed =
 		raft_config_at(raft, raft->commit_index);
 
 	return raft_find_member(raft, id) ||
@@ -94,7 +94,7 @@
 	return count_voters(&raft_newest_config(raft)->config) / 2 + 1;
 }
 
-/* Take the members of the newest configuration, keep what is known of them. */
+/* Set peers to the newest configuration; peers that stay keep their state. */
 static void rebuild_peers(dy_raft_t *raft)
 {
 	const dy_raft_config_t *config = &raft_newest_config(raft)->config;
@@ -123,7 +123,7 @@
 
 static void add_config(dy_raft_t *raft, const dy_raft_entry_t *entry)
 {
-	placed_config_t placed = { .index = entry->index };
+	indexed_config_t placed = { .index = entry->index };
 
 	if (dy_config_decode(&placed.config, entry->data.data_val,
 			     entry->data.data_len)) {
@@ -141,10 +141,10 @@
 
 static void remove_configs(dy_raft_t *raft, uint64_t index)
 {
-	placed_config_t *last;
+	indexed_config_t *last;
 
 	while (raft->configs->len > 1) {
-		last = &g_array_index(raft->configs, placed_config_t,
+		last = &g_array_index(raft->configs, indexed_config_t,
 				      raft->configs->len - 1);
 		if (last->index < index)
 			break;
@@ -162,18 +162,18 @@
 void raft_reload_configs(dy_raft_t *raft)
 {
 	const dy_store_snapshot_t *snapshot = dy_store_snapshot(raft->store);
-	placed_config_t base = { 0 };
+	indexed_config_t base = { 0 };
 	const dy_raft_entry_t *entry;
 	uint64_t i;
 
 	remove_configs(raft, 0);
 	dy_config_drop(
-		&g_array_index(raft->configs, placed_config_t, 0).config);
+		&g_array_index(raft->configs, indexed_config_t, 0).config);
 	if (snapshot) {
 		base.index = snapshot->config_index;
 		dy_config_copy(&base.config, &snapshot->config);
 	}
-	g_array_index(raft->configs, placed_config_t, 0) = base;
+	g_array_index(raft->configs, indexed_config_t, 0) = base;
 	for (i = dy_store_first_index(raft->store);
 	     i <= dy_store_last_index(raft->store); i++) {
 		entry = dy_store_find_entry(raft->store, i);
@@ -194,24 +194,24 @@
 	return DY_RAFT_DONE;
 }
 
-/* Append the changed configuration; members is its array and is freed. */
-static dy_raft_result_t change(dy_raft_t *raft, GArray *members,
-			       dy_raft_done_cb_t *done, void *context)
+/* Append a configuration of these members. Frees members. */
+static dy_raft_result_t propose_config(dy_raft_t *raft, GArray *members,
+				       dy_raft_done_cb_t *done, void *context)
 {
 	dy_raft_config_t config;
-	waiting_t waiting = { .done = done, .context = context };
+	pending_t pending = { .done = done, .context = context };
 	uint32_t size;
 	char *data;
 
 	config.members.members_val = (dy_raft_member_t *)(void *)members->data;
 	config.members.members_len = members->len;
 	data = dy_config_encode(&config, &size);
-	waiting.index = raft_append(raft, DY_ENTRY_CONFIG, data, size);
-	waiting.term = raft->term;
-	g_array_append_val(raft->proposals, waiting);
+	pending.index = raft_append(raft, DY_ENTRY_CONFIG, data, size);
+	pending.term = raft->term;
+	g_array_append_val(raft->proposals, pending);
 	dy_log_event(DY_LOG_INFO, "raft_membership_proposed",
 		     "members=%u voters=%u index=%llu", members->len,
-		     count_voters(&config), (unsigned long long)waiting.index);
+		     count_voters(&config), (unsigned long long)pending.index);
 	g_free(data);
 	g_array_free(members, TRUE);
 	return DY_RAFT_DONE;
@@ -246,7 +246,7 @@
 		return DY_RAFT_REFUSED;
 	}
 	g_array_append_val(members, member);
-	return change(raft, members, done, context);
+	return propose_config(raft, members, done, context);
 }
 
 static int slot_has_voter(const dy_raft_t *raft, uint32_t slot)
@@ -276,8 +276,8 @@
 		return result;
 	if (!peer || peer->voter || slot_has_voter(raft, id.slot))
 		return DY_RAFT_REFUSED;
-	if (!raft_peer_active(raft, peer) ||
-	    peer->match_index + CAUGHT_UP_ENTRIES < raft->commit_index)
+	if (!raft_peer_is_active(raft, peer) ||
+	    peer->match_index + PROMOTION_MAX_LAG_ENTRIES < raft->commit_index)
 		return DY_RAFT_BUSY;
 	members = copy_members(raft);
 	for (i = 0; i < members->len; i++) {
@@ -285,7 +285,7 @@
 		if (dy_voter_id_equal(member->id, id))
 			member->role = DY_MEMBER_VOTER;
 	}
-	return change(raft, members, done, context);
+	return propose_config(raft, members, done, context);
 }
 
 dy_raft_result_t dy_raft_remove(dy_raft_t *raft, dy_voter_id_t id,
@@ -305,5 +305,5 @@
 			    g_array_index(members, dy_raft_member_t, i).id, id))
 			break;
 	g_array_remove_index(members, i);
-	return change(raft, members, done, context);
+	return propose_config(raft, members, done, context);
 }
--- a/src/process/group/raft_replicate.c
+++ b/src/process/group/raft_replicate.c
@@ -4,23 +4,26 @@
 
 #include "damaskyard/invariant.h"
 
-/* An answer that takes longer than this many heartbeats is taken for lost. */
-#define RETRY_HEARTBEATS 2
+/* A message without a reply is sent again after this many heartbeats. */
+#define REPLY_TIMEOUT_HEARTBEATS 2
 
-uint64_t raft_retry_ms(const dy_raft_t *raft)
+uint64_t raft_reply_timeout_ms(const dy_raft_t *raft)
 {
-	return (uint64_t)raft->options.heartbeat_ms * RETRY_HEARTBEATS;
+	return (uint64_t)raft->options.heartbeat_ms * REPLY_TIMEOUT_HEARTBEATS;
 }
 
-int raft_peer_active(const dy_raft_t *raft, const peer_t *peer)
+int raft_peer_is_active(const dy_raft_t *raft, const peer_t *peer)
 {
-	return peer->heard_ms &&
-	       raft->now_ms - peer->heard_ms < raft->options.election_ms;
+	return peer->last_reply_ms &&
+	       raft->now_ms - peer->last_reply_ms < raft->options.election_ms;
 }
 
-/* Point at the entries from next on, up to one message's worth. */
-static u_int gather(const dy_raft_t *raft, uint64_t next,
-		    dy_raft_entry_t *entries)
+/*
+ * Collect the entries from next on that fit in one message. They refer to the
+ * store's data. Returns their number.
+ */
+static u_int collect_entries(const dy_raft_t *raft, uint64_t next,
+			     dy_raft_entry_t *entries)
 {
 	uint64_t last = dy_store_last_index(raft->store);
 	uint32_t bytes = 0;
@@ -41,7 +44,7 @@
 	dy_raft_message_t message;
 	dy_raft_append_t *append = &message.body.dy_raft_body_t_u.append;
 
-	raft_begin_message(raft, &message, DY_RAFT_APPEND, peer->id);
+	raft_init_message(raft, &message, DY_RAFT_APPEND, peer->id);
 	append->prev_index = peer->next_index - 1;
 	append->prev_term =
 		dy_store_entry_term(raft->store, append->prev_index);
@@ -50,31 +53,32 @@
 	append->entries.entries_val = entries;
 	if (with_entries) {
 		append->entries.entries_len =
-			gather(raft, peer->next_index, entries);
-		peer->awaited_ms = raft->now_ms + raft_retry_ms(raft);
+			collect_entries(raft, peer->next_index, entries);
+		peer->reply_deadline_ms =
+			raft->now_ms + raft_reply_timeout_ms(raft);
 	}
 	peer->sent_round = raft->round;
-	peer->heartbeat_ms = raft->now_ms + raft->options.heartbeat_ms;
+	peer->next_heartbeat_ms = raft->now_ms + raft->options.heartbeat_ms;
 	raft->callbacks.send(raft->callbacks.context, &message);
 }
 
 static void send_to_peer(dy_raft_t *raft, peer_t *peer)
 {
-	int due = raft->now_ms >= peer->heartbeat_ms ||
+	int due = raft->now_ms >= peer->next_heartbeat_ms ||
 		  peer->sent_round < raft->round;
-	int free = raft->now_ms >= peer->awaited_ms;
-	int active = raft_peer_active(raft, peer);
+	int idle = raft->now_ms >= peer->reply_deadline_ms;
+	int active = raft_peer_is_active(raft, peer);
 
 	if (!peer->snapshot_index &&
 	    peer->next_index < dy_store_first_index(raft->store))
 		raft_begin_snapshot(raft, peer);
 	if (peer->snapshot_index) {
-		if (due || (free && active))
+		if (due || (idle && active))
 			raft_send_snapshot(raft, peer);
 		return;
 	}
-	/* One that does not answer is sent heartbeats alone. */
-	if (active && free &&
+	/* A peer that does not reply gets heartbeats only. */
+	if (active && idle &&
 	    peer->next_index <= dy_store_last_index(raft->store))
 		send_append(raft, peer, 1);
 	else if (due)
@@ -97,7 +101,7 @@
 	raft->commit_index = index;
 }
 
-static int compare_falling(const void *a, const void *b)
+static int compare_descending(const void *a, const void *b)
 {
 	uint64_t left = *(const uint64_t *)a;
 	uint64_t right = *(const uint64_t *)b;
@@ -120,20 +124,20 @@
 			synced[n++] = raft_peer_at(raft, i)->match_index;
 	if (n < majority)
 		return;
-	qsort(synced, n, sizeof(*synced), compare_falling);
+	qsort(synced, n, sizeof(*synced), compare_descending);
 	index = synced[majority - 1];
 	/*
-	 * Only an entry of this leader's own term is committed by counting.
-	 * An older one on a majority may still be replaced by a leader whose
-	 * last entry has a term between the two; counted, an acknowledged
-	 * change would be lost.
+	 * Only an entry of this leader's own term is committed by counting
+	 * replicas. An older one on a majority may still be replaced by a
+	 * leader whose last entry has a term between the two, and an
+	 * acknowledged change would be lost.
 	 */
 	if (index > raft->commit_index &&
 	    dy_store_entry_term(raft->store, index) == raft->term)
 		raft_set_commit(raft, index);
 }
 
-/* Name where the logs may agree: the first entry of the term that differs. */
+/* Report the first index of the conflicting term, or the end of the log. */
 static void find_conflict(const dy_raft_t *raft, uint64_t prev,
 			  dy_raft_append_reply_t *reply)
 {
@@ -169,8 +173,8 @@
 	return 0;
 }
 
-/* Returns -1 if the disk failed. */
-static int take_entry(dy_raft_t *raft, const dy_raft_entry_t *entry)
+/* Returns 0, or -1 if the disk failed. */
+static int store_entry(dy_raft_t *raft, const dy_raft_entry_t *entry)
 {
 	const dy_raft_entry_t *own =
 		dy_store_find_entry(raft->store, entry->index);
@@ -190,12 +194,12 @@
 	return 0;
 }
 
-/* Whether the log holds what the leader's entries follow. */
-static int agrees(const dy_raft_t *raft, const dy_raft_append_t *append)
+/* Whether the log has the entry that precedes the leader's entries. */
+static int log_matches(const dy_raft_t *raft, const dy_raft_append_t *append)
 {
 	uint64_t prev = append->prev_index;
 
-	/* What a snapshot covers is committed, hence the same everywhere. */
+	/* Entries in the snapshot are committed, so they match the leader's. */
 	if (prev + 1 < dy_store_first_index(raft->store))
 		return 1;
 	if (prev > dy_store_last_index(raft->store))
@@ -203,8 +207,8 @@
 	return dy_store_entry_term(raft->store, prev) == append->prev_term;
 }
 
-/* A malformed batch is refused whole. */
-static int in_order(const dy_raft_message_t *message)
+/* Whether indices and terms are in order; else the batch is refused. */
+static int is_in_order(const dy_raft_message_t *message)
 {
 	const dy_raft_append_t *append = &message->body.dy_raft_body_t_u.append;
 	uint64_t term = append->prev_term;
@@ -230,15 +234,15 @@
 		&answer.body.dy_raft_body_t_u.append_reply;
 	u_int i;
 
-	if (!in_order(message))
+	if (!is_in_order(message))
 		return;
-	raft_follow(raft, message->from);
-	raft_begin_message(raft, &answer, DY_RAFT_APPEND_REPLY, message->from);
+	raft_follow_leader(raft, message->from);
+	raft_init_message(raft, &answer, DY_RAFT_APPEND_REPLY, message->from);
 	reply->prev_index = append->prev_index;
 	reply->round = append->round;
-	if (agrees(raft, append)) {
+	if (log_matches(raft, append)) {
 		for (i = 0; i < append->entries.entries_len; i++)
-			if (take_entry(raft, &append->entries.entries_val[i]))
+			if (store_entry(raft, &append->entries.entries_val[i]))
 				return;
 		reply->accepted = 1;
 		reply->match_index = match;
@@ -249,14 +253,17 @@
 		dy_assert(append->prev_index > raft->commit_index);
 		find_conflict(raft, append->prev_index, reply);
 	}
-	/* Sent by the flush, once what it acknowledges is synced. */
+	/* Sent by the flush, after the entries are synced. */
 	answer.config_index = raft_newest_config(raft)->index;
-	raft_queue(raft, &answer);
+	raft_enqueue(raft, &answer);
 }
 
-/* Skip the follower's whole conflicting term, or to the end of its log. */
-static uint64_t next_to_try(const dy_raft_t *raft,
-			    const dy_raft_append_reply_t *reply)
+/*
+ * Next index to send after a conflict: the one after this log's last entry of
+ * the conflicting term, else the index that the follower reported.
+ */
+static uint64_t choose_next_index(const dy_raft_t *raft,
+				  const dy_raft_append_reply_t *reply)
 {
 	uint64_t index = reply->prev_index;
 
@@ -279,18 +286,18 @@
 
 	if (raft->role != DY_RAFT_LEADER || !peer)
 		return;
-	peer->heard_ms = raft->now_ms;
-	peer->round = MAX(peer->round, reply->round);
+	peer->last_reply_ms = raft->now_ms;
+	peer->acked_round = MAX(peer->acked_round, reply->round);
 	if (reply->accepted) {
 		dy_assert(reply->match_index <=
 			  dy_store_last_index(raft->store));
 		if (reply->match_index >= peer->next_index)
-			peer->awaited_ms = 0;
+			peer->reply_deadline_ms = 0;
 		peer->match_index = MAX(peer->match_index, reply->match_index);
 		peer->next_index = MAX(peer->next_index, peer->match_index + 1);
 	} else if (reply->prev_index + 1 == peer->next_index) {
-		next = MIN(next_to_try(raft, reply), reply->prev_index);
+		next = MIN(choose_next_index(raft, reply), reply->prev_index);
 		peer->next_index = MAX(next, peer->match_index + 1);
-		peer->awaited_ms = 0;
+		peer->reply_deadline_ms = 0;
 	}
 }
--- a/src/process/group/raft_snapshot.c
+++ b/src/process/group/raft_snapshot.c
@@ -4,12 +4,12 @@
 
 #include "damaskyard/invariant.h"
 
-/* A snapshot that found no room is tried again after this long. */
-#define SNAPSHOT_PAUSE_MS 10000
-/* How far the log may outgrow its limits for the sake of a slow member. */
-#define PATIENCE 4
+/* Delay before a failed snapshot, as on a full disk, is retried. */
+#define SNAPSHOT_RETRY_MS 10000
+/* The log may exceed its limits by this factor for a lagging member. */
+#define LAGGING_PEER_LOG_FACTOR 4
 
-static int pass_chunk(void *context, const void *data, size_t size)
+static int add_snapshot_bytes(void *context, const void *data, size_t size)
 {
 	dy_raft_t *raft = context;
 	GError *error = NULL;
@@ -22,8 +22,11 @@
 	return -1;
 }
 
-/* A member that is being caught up should not lose what it is sent. */
-static int is_wanted(const dy_raft_t *raft)
+/*
+ * A leader defers the snapshot while an active peer lags, since the snapshot
+ * would remove the entries that the peer still needs.
+ */
+static int is_snapshot_due(const dy_raft_t *raft)
 {
 	uint64_t entries =
 		raft->applied_index + 1 - dy_store_first_index(raft->store);
@@ -31,27 +34,29 @@
 	const peer_t *peer;
 	guint i;
 
-	if (!entries || raft->now_ms < raft->snapshot_not_before_ms)
+	if (!entries || raft->now_ms < raft->snapshot_retry_at_ms)
 		return 0;
 	if (entries <= raft->options.snapshot_entries &&
 	    bytes <= raft->options.snapshot_bytes)
 		return 0;
-	if (entries > (uint64_t)raft->options.snapshot_entries * PATIENCE ||
-	    bytes > (uint64_t)raft->options.snapshot_bytes * PATIENCE ||
+	if (entries > (uint64_t)raft->options.snapshot_entries *
+			      LAGGING_PEER_LOG_FACTOR ||
+	    bytes > (uint64_t)raft->options.snapshot_bytes *
+			    LAGGING_PEER_LOG_FACTOR ||
 	    raft->role != DY_RAFT_LEADER)
 		return 1;
 	for (i = 0; i < raft->peers->len; i++) {
 		peer = raft_peer_at(raft, i);
-		if (raft_peer_active(raft, peer) &&
+		if (raft_peer_is_active(raft, peer) &&
 		    peer->match_index < raft->applied_index)
 			return 0;
 	}
 	return 1;
 }
 
-static int write_through(dy_raft_t *raft, GError **error)
+static int write_snapshot(dy_raft_t *raft, GError **error)
 {
-	const placed_config_t *config =
+	const indexed_config_t *config =
 		raft_config_at(raft, raft->applied_index);
 	dy_store_snapshot_t meta = { 0 };
 
@@ -61,11 +66,11 @@
 	meta.config = config->config;
 	if (dy_store_snapshot_begin(raft->store, &meta, error))
 		return -1;
-	if (raft->callbacks.write_snapshot(raft->callbacks.context, pass_chunk,
-					   raft)) {
+	if (raft->callbacks.write_snapshot(raft->callbacks.context,
+					   add_snapshot_bytes, raft)) {
 		dy_store_snapshot_abort(raft->store);
 		g_set_error(error, DY_STORE_ERROR, DY_STORE_ERROR_IO,
-			    "the snapshot was given up");
+			    "the snapshot was aborted");
 		return -1;
 	}
 	return dy_store_snapshot_commit(raft->store, error);
@@ -75,10 +80,10 @@
 {
 	GError *error = NULL;
 
-	if (raft->failed || !is_wanted(raft))
+	if (raft->failed || !is_snapshot_due(raft))
 		return;
 	raft->install_index = 0;
-	if (!write_through(raft, &error)) {
+	if (!write_snapshot(raft, &error)) {
 		(*raft->counters.snapshots_written)++;
 		raft_reload_configs(raft);
 		return;
@@ -88,24 +93,24 @@
 		raft_fail(raft, error);
 		return;
 	}
-	raft->snapshot_not_before_ms = raft->now_ms + SNAPSHOT_PAUSE_MS;
+	raft->snapshot_retry_at_ms = raft->now_ms + SNAPSHOT_RETRY_MS;
 	dy_log_event(DY_LOG_ERROR, "raft_snapshot_failed", "reason=%s",
 		     dy_log_quote(error->message));
 	g_error_free(error);
 }
 
-typedef struct reader {
+typedef struct snapshot_reader {
 	dy_raft_t *raft;
 	char chunk[DY_RAFT_CHUNK_BYTES];
 	uint64_t offset;
 	int size;
 	int used;
 	GError *error;
-} reader_t;
+} snapshot_reader_t;
 
 static int read_bytes(void *context, void *data, size_t size)
 {
-	reader_t *reader = context;
+	snapshot_reader_t *reader = context;
 	size_t n;
 
 	if (reader->used == reader->size) {
@@ -126,7 +131,7 @@
 int raft_load_snapshot(dy_raft_t *raft)
 {
 	const dy_store_snapshot_t *snapshot = dy_store_snapshot(raft->store);
-	reader_t *reader = g_new0(reader_t, 1);
+	snapshot_reader_t *reader = g_new0(snapshot_reader_t, 1);
 	int failed;
 
 	reader->raft = raft;
@@ -135,7 +140,7 @@
 	if (failed && !reader->error)
 		g_set_error(&reader->error, DY_STORE_ERROR,
 			    DY_STORE_ERROR_CORRUPT,
-			    "snapshot: its contents cannot be read");
+			    "snapshot: contents are invalid");
 	if (failed)
 		raft_fail(raft, reader->error);
 	g_free(reader);
@@ -151,7 +156,7 @@
 {
 	peer->snapshot_index = dy_store_snapshot(raft->store)->last_index;
 	peer->snapshot_offset = 0;
-	peer->awaited_ms = 0;
+	peer->reply_deadline_ms = 0;
 	(*raft->counters.snapshots_sent)++;
 }
 
@@ -166,17 +171,19 @@
 
 	if (peer->snapshot_index != snapshot->last_index)
 		raft_begin_snapshot(raft, peer);
-	/* Without bytes it is a heartbeat that asks how far the peer is. */
-	if (raft_peer_active(raft, peer) && raft->now_ms >= peer->awaited_ms) {
+	/* Without data the message is a heartbeat; the reply has the offset. */
+	if (raft_peer_is_active(raft, peer) &&
+	    raft->now_ms >= peer->reply_deadline_ms) {
 		size = dy_store_snapshot_read(
 			raft->store, peer->snapshot_offset, chunk, &error);
-		peer->awaited_ms = raft->now_ms + raft_retry_ms(raft);
+		peer->reply_deadline_ms =
+			raft->now_ms + raft_reply_timeout_ms(raft);
 	}
 	if (size < 0) {
 		raft_fail(raft, error);
 		return;
 	}
-	raft_begin_message(raft, &message, DY_RAFT_SNAPSHOT, peer->id);
+	raft_init_message(raft, &message, DY_RAFT_SNAPSHOT, peer->id);
 	part->last_index = snapshot->last_index;
 	part->last_term = snapshot->last_term;
 	part->config_index = snapshot->config_index;
@@ -187,11 +194,11 @@
 	part->data.data_len = size;
 	part->round = raft->round;
 	peer->sent_round = raft->round;
-	peer->heartbeat_ms = raft->now_ms + raft->options.heartbeat_ms;
+	peer->next_heartbeat_ms = raft->now_ms + raft->options.heartbeat_ms;
 	raft->callbacks.send(raft->callbacks.context, &message);
 }
 
-/* Returns -1 if the snapshot could not be taken; it begins anew then. */
+/* Drop the snapshot being received; it restarts at 0. Returns -1. */
 static int install_failed(dy_raft_t *raft, GError *error)
 {
 	raft->install_index = 0;
@@ -208,8 +215,8 @@
 }
 
 /*
- * Begin anew for each snapshot and each leader: two leaders may write the
- * same state in other bytes, and halves of two must not be joined.
+ * Restart for each snapshot and each leader: two leaders may encode the same
+ * state in different bytes, and parts of two snapshots must not be mixed.
  */
 static int begin_install(dy_raft_t *raft, const dy_raft_snapshot_t *part,
 			 GError **error)
@@ -247,7 +254,7 @@
 	return 0;
 }
 
-static int take_part(dy_raft_t *raft, const dy_raft_snapshot_t *part)
+static int store_chunk(dy_raft_t *raft, const dy_raft_snapshot_t *part)
 {
 	GError *error = NULL;
 
@@ -273,18 +280,17 @@
 	dy_raft_snapshot_reply_t *reply =
 		&answer.body.dy_raft_body_t_u.snapshot_reply;
 
-	raft_follow(raft, message->from);
+	raft_follow_leader(raft, message->from);
 	if (part->last_index > raft->commit_index)
-		(void)take_part(raft, part);
+		(void)store_chunk(raft, part);
 	if (raft->failed)
 		return;
-	raft_begin_message(raft, &answer, DY_RAFT_SNAPSHOT_REPLY,
-			   message->from);
+	raft_init_message(raft, &answer, DY_RAFT_SNAPSHOT_REPLY, message->from);
 	reply->last_index = part->last_index;
 	reply->installed = part->last_index <= raft->commit_index;
 	reply->next_offset = raft->install_offset;
 	reply->round = part->round;
-	raft_queue(raft, &answer);
+	raft_enqueue(raft, &answer);
 }
 
 void raft_handle_snapshot_reply(dy_raft_t *raft,
@@ -296,11 +302,11 @@
 
 	if (raft->role != DY_RAFT_LEADER || !peer)
 		return;
-	peer->heard_ms = raft->now_ms;
-	peer->round = MAX(peer->round, reply->round);
+	peer->last_reply_ms = raft->now_ms;
+	peer->acked_round = MAX(peer->acked_round, reply->round);
 	if (!peer->snapshot_index || peer->snapshot_index != reply->last_index)
 		return;
-	peer->awaited_ms = 0;
+	peer->reply_deadline_ms = 0;
 	peer->snapshot_offset = reply->next_offset;
 	if (!reply->installed)
 		return;
--- a/src/process/group/raft_status.c
+++ b/src/process/group/raft_status.c
@@ -1,7 +1,5 @@
 #include "raft_private.h"
 
-/* What the owner may ask of a member. */
-
 dy_raft_role_t dy_raft_role(const dy_raft_t *raft)
 {
 	return raft->role;
@@ -74,7 +72,7 @@
 		return 0;
 	for (i = 0; i < raft->peers->len; i++)
 		heard += raft_peer_at(raft, i)->voter &&
-			 raft_peer_active(raft, raft_peer_at(raft, i));
+			 raft_peer_is_active(raft, raft_peer_at(raft, i));
 	return heard >= raft_majority(raft);
 }
 
@@ -92,6 +90,6 @@
 
 	if (raft->role != DY_RAFT_LEADER || !peer)
 		return UINT64_MAX;
-	*heard_ms_ago = raft->now_ms - peer->heard_ms;
+	*heard_ms_ago = raft->now_ms - peer->last_reply_ms;
 	return dy_store_last_index(raft->store) - peer->match_index;
 }
