--- a/src/process/group/disk.c
+++ b/src/process/group/disk.c
@@ -9,7 +9,7 @@
 #include <sys/stat.h>
 #include <unistd.h>
 
-/* The file whose lock keeps a second process out of the folder. */
+/* Locked against a second process that would use the folder. */
 #define LOCK_NAME "lock"
 
 typedef struct folder {
@@ -122,7 +122,7 @@
 	return 0;
 }
 
-static dy_disk_t *create_table(folder_t folder)
+static dy_disk_t *create_disk(folder_t folder)
 {
 	dy_disk_t *disk = g_new0(dy_disk_t, 1);
 
@@ -141,18 +141,18 @@
 	return disk;
 }
 
-/* A new folder lasts only once the one above it is synced too. */
-static int make_folder(const char *name)
+/* A new folder is durable only after its parent is synced. */
+static int create_folder(const char *name)
 {
-	char *above;
+	char *parent;
 	int handle;
 	int failed;
 
 	if (mkdir(name, 0700))
 		return errno == EEXIST ? 0 : -1;
-	above = g_path_get_dirname(name);
-	handle = open(above, O_RDONLY | O_DIRECTORY | O_CLOEXEC);
-	g_free(above);
+	parent = g_path_get_dirname(name);
+	handle = open(parent, O_RDONLY | O_DIRECTORY | O_CLOEXEC);
+	g_free(parent);
 	if (handle < 0)
 		return -1;
 	failed = fsync(handle);
@@ -164,7 +164,7 @@
 {
 	folder_t folder = { -1, -1 };
 
-	if (make_folder(name))
+	if (create_folder(name))
 		goto failed;
 	folder.handle = open(name, O_RDONLY | O_DIRECTORY | O_CLOEXEC);
 	if (folder.handle < 0)
@@ -173,7 +173,7 @@
 			     O_RDWR | O_CREAT | O_CLOEXEC, 0600);
 	if (folder.lock < 0 || flock(folder.lock, LOCK_EX | LOCK_NB))
 		goto failed;
-	return create_table(folder);
+	return create_disk(folder);
 failed:
 	g_set_error(error, DY_STORE_ERROR, DY_STORE_ERROR_IO, "%s: %s", name,
 		    errno == EWOULDBLOCK
--- a/src/process/group/store.c
+++ b/src/process/group/store.c
@@ -13,7 +13,7 @@
 #define MARKER_NAME "synced"
 #define SEGMENT_PREFIX "log-"
 #define TEMPORARY_SUFFIX ".tmp"
-/* Few enough files to read one whole, many enough entries to keep few files. */
+/* Small enough to read a segment as a whole, large enough for few files. */
 #define DEFAULT_SEGMENT_BYTES (4u << 20)
 
 G_DEFINE_QUARK(dy - store - error - quark, dy_store_error)
@@ -32,7 +32,7 @@
 	if (!store->failed)
 		return 0;
 	g_set_error(error, DY_STORE_ERROR, DY_STORE_ERROR_FAILED,
-		    "the disk has failed before; nothing more is written");
+		    "an earlier write or sync failed; nothing more is written");
 	return -1;
 }
 
@@ -105,7 +105,7 @@
 	return 0;
 }
 
-/* Replace the file name by one record, whole or not at all. */
+/* Replace a file by one record atomically. */
 static int write_file(dy_store_t *store, const char *name,
 		      const dy_record_t *record, GError **error)
 {
@@ -184,7 +184,7 @@
 	int has_state;
 } listing_t;
 
-static void take_name(void *context, const char *name)
+static void classify_file(void *context, const char *name)
 {
 	listing_t *listing = context;
 	segment_t segment = { 0, 0 };
@@ -211,16 +211,15 @@
 
 /*
  * Returns whether there is a log or a snapshot, or -1 with error set. The
- * folder is synced before anything in it is believed: a vote whose rename
- * was not synced would be read, acted upon, and taken back by a loss of
- * power.
+ * folder is synced before its files are used: otherwise a vote whose rename
+ * was not synced would be read and acted upon, then lost by a power loss.
  */
 static int list_folder(dy_store_t *store, GError **error)
 {
 	listing_t listing = { store, g_ptr_array_new_with_free_func(g_free),
 			      0 };
 	const dy_disk_t *disk = store->disk;
-	int code = disk->list(disk->context, take_name, &listing);
+	int code = disk->list(disk->context, classify_file, &listing);
 	guint i;
 
 	for (i = 0; code >= 0 && i < listing.temporaries->len; i++)
@@ -236,11 +235,11 @@
 }
 
 /*
- * The vote is written before the identity: a folder with an identity always
- * has a vote, so a missing one is damage, never a fresh start.
+ * The vote is written before the identity. So a folder with an identity always
+ * has a vote, and a missing vote is damage, not an interrupted first start.
  */
-static int found_member(dy_store_t *store, const dy_store_options_t *options,
-			int has_state, GError **error)
+static int create_member(dy_store_t *store, const dy_store_options_t *options,
+			 int has_state, GError **error)
 {
 	dy_record_t record;
 	uint64_t term = 0;
@@ -277,7 +276,7 @@
 	if (found < 0)
 		return -1;
 	if (!found)
-		return found_member(store, options, has_state, error);
+		return create_member(store, options, has_state, error);
 	store->group = record.dy_record_t_u.identity.group;
 	store->id = record.dy_record_t_u.identity.id;
 	if (store->group == options->group && store->id.slot == options->slot)
@@ -318,10 +317,10 @@
 	if (has_state < 0 || load_member(store, options, has_state, error) ||
 	    load_vote(store, error))
 		return -1;
-	store->marker = disk->open(disk->context, MARKER_NAME, 1);
-	if (store->marker < 0)
-		return store_fail(store, "open", MARKER_NAME, store->marker,
-				  error);
+	store->marker_handle = disk->open(disk->context, MARKER_NAME, 1);
+	if (store->marker_handle < 0)
+		return store_fail(store, "open", MARKER_NAME,
+				  store->marker_handle, error);
 	if (snapshot_recover(store, error))
 		return -1;
 	if (store->has_snapshot)
@@ -341,7 +340,7 @@
 	store->first_index = 1;
 	store->segments = g_array_new(FALSE, FALSE, sizeof(segment_t));
 	store->tail = -1;
-	store->marker = -1;
+	store->marker_handle = -1;
 	store->buffer = g_byte_array_new();
 	if (!recover(store, options, error))
 		return store;
@@ -357,8 +356,8 @@
 	snapshot_drop(store);
 	if (store->tail >= 0)
 		store->disk->close(store->disk->context, store->tail);
-	if (store->marker >= 0)
-		store->disk->close(store->disk->context, store->marker);
+	if (store->marker_handle >= 0)
+		store->disk->close(store->disk->context, store->marker_handle);
 	g_ptr_array_free(store->entries, TRUE);
 	g_array_free(store->segments, TRUE);
 	g_byte_array_free(store->buffer, TRUE);
--- a/src/process/group/store_folder.c
+++ b/src/process/group/store_folder.c
@@ -1,5 +1,5 @@
 /*
- * A data folder from outside: whose it is, and giving it up.
+ * Operations on a data folder without opening its store.
  */
 
 #include <errno.h>
@@ -13,12 +13,12 @@
 	dy_disk_t *disk = dy_disk_create(folder, error);
 	dy_record_t record;
 	GByteArray *file;
-	GError *fault = NULL;
+	GError *local_error = NULL;
 	size_t used = 0;
 
 	if (!disk)
 		return -1;
-	file = store_read_file(disk, STORE_IDENTITY_NAME, &fault);
+	file = store_read_file(disk, STORE_IDENTITY_NAME, &local_error);
 	if (file)
 		used = record_decode(file->data, file->len, 0, &record);
 	if (used) {
@@ -26,13 +26,13 @@
 		record_drop(&record);
 	} else if (file) {
 		store_corrupt(STORE_IDENTITY_NAME, 0, "the record is damaged",
-			      &fault);
+			      &local_error);
 	}
 	if (file)
 		g_byte_array_free(file, TRUE);
 	dy_disk_destroy(disk);
-	if (fault) {
-		g_propagate_error(error, fault);
+	if (local_error) {
+		g_propagate_error(error, local_error);
 		return -1;
 	}
 	return used != 0;
--- a/src/process/group/store_log.c
+++ b/src/process/group/store_log.c
@@ -66,8 +66,8 @@
 }
 
 /*
- * A segment begins only once the one before is synced, so that a good header
- * proves all that stands before it.
+ * A segment is started only after the previous one is synced, so that a valid
+ * header proves that all earlier records were synced.
  */
 static void begin_segment(dy_store_t *store, uint64_t first_index)
 {
@@ -142,9 +142,9 @@
 }
 
 /*
- * The marker names an index that was synced. It tells a last record that
- * decayed from one that was being written; not being synced itself, it may
- * lag behind, never run ahead.
+ * The marker is a lower bound of the synced index. It distinguishes a last
+ * record that is corrupt from one that was being written. It is usually not
+ * synced itself, so it may lag behind, but it is never ahead.
  */
 int log_write_marker(dy_store_t *store, int sync, GError **error)
 {
@@ -154,10 +154,11 @@
 
 	record.dy_record_t_u.synced_index = store->synced_index;
 	record_encode(out, &record, store->id.identity);
-	code = store_write_all(store->disk, store->marker, 0, out->data,
+	code = store_write_all(store->disk, store->marker_handle, 0, out->data,
 			       out->len);
 	if (code >= 0 && sync)
-		code = store->disk->sync(store->disk->context, store->marker);
+		code = store->disk->sync(store->disk->context,
+					 store->marker_handle);
 	g_byte_array_free(out, TRUE);
 	if (code < 0)
 		return store_fail(store, "write", "synced", code, error);
@@ -184,8 +185,8 @@
 }
 
 /*
- * Each removal is synced before the next, so that a crash never leaves a
- * hole between segments.
+ * Each removal is synced before the next one, so that a crash never leaves a
+ * gap between segments.
  */
 int log_remove_segments(dy_store_t *store, guint position, GError **error)
 {
@@ -216,7 +217,7 @@
 	return n;
 }
 
-static int cut_tail(dy_store_t *store, uint64_t size, GError **error)
+static int truncate_tail(dy_store_t *store, uint64_t size, GError **error)
 {
 	segment_t *tail = last_segment(store);
 	char name[SEGMENT_NAME_BYTES];
@@ -248,14 +249,14 @@
 		return -1;
 	keep = count_segments(store, index);
 	if (log_remove_segments(store, keep, error) ||
-	    log_open_tail(store, error) || cut_tail(store, offset, error))
+	    log_open_tail(store, error) || truncate_tail(store, offset, error))
 		return -1;
 	drop_entries(store, index - store->first_index,
 		     store->entries->len - (index - store->first_index));
 	return 0;
 }
 
-int log_drop_all(dy_store_t *store, GError **error)
+int log_clear(dy_store_t *store, GError **error)
 {
 	g_byte_array_set_size(store->buffer, 0);
 	drop_entries(store, 0, store->entries->len);
@@ -267,8 +268,10 @@
 	return log_open_tail(store, error);
 }
 
-/* Segments that a later one makes unneeded; a hole among them is harmless. */
-int log_drop_covered(dy_store_t *store, GError **error)
+/*
+ * These removals are not synced: a gap among covered segments is harmless.
+ */
+int log_remove_covered_segments(dy_store_t *store, GError **error)
 {
 	char name[SEGMENT_NAME_BYTES];
 	const segment_t *first;
@@ -285,18 +288,18 @@
 	return 0;
 }
 
-int log_follow_snapshot(dy_store_t *store, GError **error)
+int log_trim_to_snapshot(dy_store_t *store, GError **error)
 {
 	uint64_t last = store->snapshot.last_index;
 	const log_entry_t *entry = log_entry_at(store, last);
 
 	if (store->first_index == last + 1)
-		return log_drop_covered(store, error);
+		return log_remove_covered_segments(store, error);
 	if (!entry || entry->entry.term != store->snapshot.last_term)
-		return log_drop_all(store, error);
+		return log_clear(store, error);
 	drop_entries(store, 0, last - store->first_index + 1);
 	store->first_index = last + 1;
-	return log_drop_covered(store, error);
+	return log_remove_covered_segments(store, error);
 }
 
 uint64_t dy_store_first_index(const dy_store_t *store)
--- a/src/process/group/store_private.h
+++ b/src/process/group/store_private.h
@@ -1,11 +1,11 @@
 #ifndef STORE_PRIVATE_H
 #define STORE_PRIVATE_H
 
-/* What the files of the store share; the subject is told in store.h. */
+/* Internals of the store, shared by store*.c. See store.h. */
 
 #include "damaskyard/store.h"
 
-/* An entry in memory, and where its record starts in its segment. */
+/* An entry in memory, and the offset of its record in its segment. */
 typedef struct log_entry {
 	uint64_t offset;
 	dy_raft_entry_t entry;
@@ -13,18 +13,17 @@
 
 typedef struct segment {
 	uint64_t first_index;
-	/* Bytes that are written and synced. */
+	/* Bytes written and synced. */
 	uint64_t size;
 } segment_t;
 
-/* A snapshot that is being written, in NAME.tmp. */
+/* A snapshot being written to its temporary file. */
 typedef struct snapshot_writer {
 	int handle;
 	dy_store_snapshot_t meta;
-	/* Where the chunks begin, bytes in the file, and in the chunks. */
-	uint64_t start;
-	uint64_t file_size;
-	uint64_t taken;
+	uint64_t start;	     /* offset of the first chunk */
+	uint64_t file_size;  /* bytes written */
+	uint64_t data_bytes; /* bytes of data in the chunks */
 	GByteArray *chunk;
 } snapshot_writer_t;
 
@@ -43,13 +42,13 @@
 	uint64_t first_index;
 	uint64_t synced_index;
 	uint64_t log_bytes;
-	/* Oldest first; the last one is open as tail, if tail is not -1. */
+	/* Oldest first. tail is the handle of the last one, or -1. */
 	GArray *segments;
 	int tail;
-	/* Records that are encoded and not yet written. */
+	/* Encoded records to be written to the last segment. */
 	GByteArray *buffer;
-	/* Handle of the file `synced`. */
-	int marker;
+	/* Handle of the file "synced"; see log_write_marker(). */
+	int marker_handle;
 
 	int has_snapshot;
 	dy_store_snapshot_t snapshot;
@@ -58,54 +57,66 @@
 	snapshot_writer_t *writer;
 };
 
-/* The file that says whose the folder is. */
+/* The file with the group, slot and identity of the folder's member. */
 #define STORE_IDENTITY_NAME "identity"
 
-/* Fail the store for good. Returns -1 with error set. */
+/* Fail the store permanently. code is -errno. Returns -1 with error set. */
 int store_fail(dy_store_t *store, const char *operation, const char *name,
 	       int code, GError **error);
 /* Returns -1 with error set if the store has failed, else 0. */
 int store_check(const dy_store_t *store, GError **error);
+/* Returns -1 with error set to the place of the damage. */
 int store_corrupt(const char *name, uint64_t offset, const char *what,
 		  GError **error);
 
-/* Write all of data, whatever the disk takes at a time. Returns 0 or -errno. */
+/* Write all of data, with several writes if needed. Returns 0 or -errno. */
 int store_write_all(const dy_disk_t *disk, int handle, uint64_t offset,
 		    const void *data, size_t size);
 /*
- * Read a whole file. Returns NULL with error set, or without if there is no
- * such file.
+ * Read a whole file. Returns NULL with error set, or without error if the
+ * file is missing.
  */
 GByteArray *store_read_file(const dy_disk_t *disk, const char *name,
 			    GError **error);
-/* Rename from over to and sync the folder; fails the store. */
+/*
+ * Rename from over to and sync the folder. Returns 0, or -1 with error set
+ * after it failed the store.
+ */
 int store_rename(dy_store_t *store, const char *from, const char *to,
 		 GError **error);
 
 #define SEGMENT_NAME_BYTES 32
+/* Format the name of a segment; name has SEGMENT_NAME_BYTES. */
 void segment_name(char *name, uint64_t first_index);
 
+/* The entry at index, or NULL. */
 log_entry_t *log_entry_at(const dy_store_t *store, uint64_t index);
-/* Take entry's copy into memory, as it stands at offset of the tail. */
+/* Add a copy of entry in memory; its record is at offset of its segment. */
 void log_entry_add(dy_store_t *store, const dy_raft_entry_t *entry,
 		   uint64_t offset);
+/* The functions below that take error return 0, or -1 with error set. */
+
 /* Open the last segment as tail. */
 int log_open_tail(dy_store_t *store, GError **error);
-/* Write the marker of what is synced; durable only if sync. */
+/*
+ * Write the synced index to the file "synced", and sync the file if sync is
+ * set. The marker distinguishes a corrupt last record from a torn one.
+ */
 int log_write_marker(dy_store_t *store, int sync, GError **error);
-/* Remove segments from position on, newest first, each durably. */
+/* Remove the segments from position on durably, newest first. */
 int log_remove_segments(dy_store_t *store, guint position, GError **error);
-/* Empty the log; it begins behind the snapshot again. */
-int log_drop_all(dy_store_t *store, GError **error);
-/* Remove the segments that a later one and the snapshot make unneeded. */
-int log_drop_covered(dy_store_t *store, GError **error);
-/* Remove what the snapshot covers, or all that does not agree with it. */
-int log_follow_snapshot(dy_store_t *store, GError **error);
-/* Read the log and cut its torn tail. Segments are listed in store. */
+/* Remove all entries; the log starts after the snapshot. */
+int log_clear(dy_store_t *store, GError **error);
+/* Remove the segments whose entries the snapshot covers. */
+int log_remove_covered_segments(dy_store_t *store, GError **error);
+/* Remove the covered entries, or all if the log conflicts with the snapshot. */
+int log_trim_to_snapshot(dy_store_t *store, GError **error);
+/* Read the log from store's segments and truncate a torn tail. */
 int log_recover(dy_store_t *store, GError **error);
 
-/* Open and check the snapshot file, if there is one. */
+/* Open and verify the snapshot file, if there is one. */
 int snapshot_recover(dy_store_t *store, GError **error);
+/* Close the snapshot file and forget the snapshot. */
 void snapshot_drop(dy_store_t *store);
 
 #endif
--- a/src/process/group/store_recover.c
+++ b/src/process/group/store_recover.c
@@ -6,26 +6,27 @@
 #include "store_record.h"
 
 /*
- * Reading the log back. A record that does not decode is one of two things:
+ * Recovery of the log. A record that does not decode is one of two things:
  *
- * - torn: part of a batch whose sync had not ended when the machine stopped.
- *   Nothing of it was acknowledged; it is cut.
- * - decayed: it was synced, and may have been acknowledged. Cutting it would
- *   lose an accepted change without a word; the control must stop.
+ * - torn: part of a batch whose sync had not completed when the VM stopped.
+ *   Nothing of it was acknowledged, so it is truncated.
+ * - corrupt: it was synced and may have been acknowledged. Truncating it would
+ *   silently lose an accepted change, so the control must stop.
  *
- * It was synced if the marker says so, if a later record was written after
- * its sync (each carries the index synced by then), or if a later segment
- * has a header (a segment begins only after the sync of the one before).
+ * The record was synced if the marker covers it, if a later record was
+ * written after its sync (each record has the index synced at that time), or
+ * if a later segment has a header (a segment is started only after the sync of
+ * the previous one).
  */
 
 typedef struct scan {
 	dy_store_t *store;
 	/* Index that the next record must have. */
-	uint64_t expected;
-	uint64_t marker;
-	/* The log holds other entries than the snapshot; see agrees(). */
-	int disagrees;
-	/* The segment being read: its place, file and next record. */
+	uint64_t next_index;
+	uint64_t marker_index;
+	/* The log conflicts with the snapshot; see matches_snapshot(). */
+	int conflicts_with_snapshot;
+	/* Segment being read: position, name, contents, next record. */
 	guint position;
 	char name[SEGMENT_NAME_BYTES];
 	GByteArray *file;
@@ -49,8 +50,8 @@
 	dy_record_t record;
 	int64_t size;
 
-	size = store->disk->read(store->disk->context, store->marker, 0, data,
-				 sizeof(data));
+	size = store->disk->read(store->disk->context, store->marker_handle, 0,
+				 data, sizeof(data));
 	if (size <= 0 ||
 	    !record_decode(data, size, store->id.identity, &record))
 		return 0;
@@ -60,8 +61,8 @@
 	return index;
 }
 
-/* Whether a record after offset was written once expected was synced. */
-static int later_record_proves(const scan_t *scan)
+/* Whether a later record proves that next_index was synced. */
+static int later_record_proves_sync(const scan_t *scan)
 {
 	uint64_t offset = scan->offset + RECORD_ALIGNMENT;
 	dy_record_t record;
@@ -72,7 +73,7 @@
 			continue;
 		proved = record.kind == DY_RECORD_ENTRY &&
 			 record.dy_record_t_u.entry.synced_index >=
-				 scan->expected;
+				 scan->next_index;
 		record_drop(&record);
 		if (proved)
 			return 1;
@@ -80,8 +81,8 @@
 	return 0;
 }
 
-/* Returns 1 if a segment after the one being read has a header, or -1. */
-static int later_segment_proves(const scan_t *scan, GError **error)
+/* Returns 1 if a later segment has a valid header, 0, or -1 with error set. */
+static int later_segment_proves_sync(const scan_t *scan, GError **error)
 {
 	const dy_store_t *store = scan->store;
 	char name[SEGMENT_NAME_BYTES];
@@ -107,7 +108,7 @@
 	return 0;
 }
 
-static int cut_torn(scan_t *scan, GError **error)
+static int truncate_torn_tail(scan_t *scan, GError **error)
 {
 	dy_store_t *store = scan->store;
 	segment_t *segment;
@@ -137,26 +138,27 @@
 
 static int handle_bad_record(scan_t *scan, GError **error)
 {
-	int proved =
-		scan->marker >= scan->expected || later_record_proves(scan);
+	int proved = scan->marker_index >= scan->next_index ||
+		     later_record_proves_sync(scan);
 
 	if (!proved)
-		proved = later_segment_proves(scan, error);
+		proved = later_segment_proves_sync(scan, error);
 	if (proved < 0)
 		return -1;
 	if (proved)
 		return store_corrupt(scan->name, scan->offset,
 				     "a synced record is damaged", error);
-	return cut_torn(scan, error);
+	return truncate_torn_tail(scan, error);
 }
 
 /*
- * Whether entry may stand beside the snapshot. A crash between the commit of
+ * Whether entry is consistent with the snapshot. A crash between the commit of
  * a snapshot that a leader sent and the removal of the log that it replaces
- * leaves entries which never were committed: one of another term at the
- * snapshot's last index, or an older term right behind it.
+ * leaves entries that were never committed: an entry of another term at the
+ * snapshot's last index, or of an older term right after it.
  */
-static int agrees(const dy_store_t *store, const dy_raft_entry_t *entry)
+static int matches_snapshot(const dy_store_t *store,
+			    const dy_raft_entry_t *entry)
 {
 	if (!store->has_snapshot)
 		return 1;
@@ -167,62 +169,64 @@
 	return 1;
 }
 
-/* Returns 1 when taken, 0 when torn, -1 with error set. */
-static int take_entry(scan_t *scan, GError **error)
+/* Returns 1 if an entry was read, 0 if it was torn, -1 with error set. */
+static int read_entry(scan_t *scan, GError **error)
 {
 	const dy_raft_entry_t *entry;
 	dy_record_t record;
 	size_t used = decode_at(scan, scan->offset, &record);
-	int taken = -1;
+	int result = -1;
 
 	if (!used)
 		return handle_bad_record(scan, error);
 	entry = &record.dy_record_t_u.entry.entry;
-	if (record.kind != DY_RECORD_ENTRY || entry->index != scan->expected) {
+	if (record.kind != DY_RECORD_ENTRY ||
+	    entry->index != scan->next_index) {
 		store_corrupt(scan->name, scan->offset,
-			      "a record stands out of order", error);
+			      "a record is out of order", error);
 		goto done;
 	}
-	if (!agrees(scan->store, entry))
-		scan->disagrees = 1;
+	if (!matches_snapshot(scan->store, entry))
+		scan->conflicts_with_snapshot = 1;
 	if (entry->index >= scan->store->first_index)
 		log_entry_add(scan->store, entry, scan->offset);
-	scan->expected++;
+	scan->next_index++;
 	scan->offset += used;
-	taken = 1;
+	result = 1;
 done:
 	record_drop(&record);
-	return taken;
+	return result;
 }
 
-/* Returns 1 when the header is good, 0 when torn, -1 with error set. */
-static int take_header(scan_t *scan, uint64_t first_index, GError **error)
+/* Returns 1 if the header is valid, 0 if it was torn, -1 with error set. */
+static int read_header(scan_t *scan, uint64_t first_index, GError **error)
 {
 	const dy_record_segment_t *segment;
 	dy_record_t record;
 	size_t used = decode_at(scan, 0, &record);
-	int good;
+	int valid;
 
 	if (!used)
 		return handle_bad_record(scan, error);
 	segment = &record.dy_record_t_u.segment;
-	good = record.kind == DY_RECORD_SEGMENT &&
-	       segment->first_index == first_index;
+	valid = record.kind == DY_RECORD_SEGMENT &&
+		segment->first_index == first_index;
 	record_drop(&record);
-	if (!good)
+	if (!valid)
 		return store_corrupt(scan->name, 0,
-				     "the header names another segment", error);
+				     "the header is that of another segment",
+				     error);
 	scan->offset = used;
 	return 1;
 }
 
 /*
- * Write the tail's bytes once more and sync them. After a failed sync the
- * kernel may show bytes from its cache, marked clean, that never reached the
- * disk; a restarted process would then acknowledge what a loss of power
- * takes back. Written anew they are dirty again, so the sync is a true one.
+ * Rewrite the last segment and sync it. After a failed sync the kernel may
+ * return bytes from its page cache that are marked clean but never reached the
+ * disk, and a restarted process would acknowledge entries that a power loss
+ * removes. Rewriting makes the pages dirty again, so that the sync writes them.
  */
-static int settle_tail(scan_t *scan, GError **error)
+static int rewrite_tail(scan_t *scan, GError **error)
 {
 	dy_store_t *store = scan->store;
 	int code;
@@ -245,25 +249,25 @@
 	dy_store_t *store = scan->store;
 	segment_t *segment =
 		&g_array_index(store->segments, segment_t, scan->position);
-	int taken;
+	int result;
 
 	segment_name(scan->name, segment->first_index);
-	if (segment->first_index != scan->expected)
+	if (segment->first_index != scan->next_index)
 		return store_corrupt(scan->name, 0,
-				     "the segment before it is missing", error);
+				     "the previous segment is missing", error);
 	scan->offset = 0;
 	scan->file = store_read_file(store->disk, scan->name, error);
 	if (!scan->file)
 		return -1;
 	segment->size = scan->file->len;
-	taken = take_header(scan, segment->first_index, error);
-	while (taken > 0 && scan->offset < scan->file->len)
-		taken = take_entry(scan, error);
-	if (taken >= 0 && scan->position + 1 == store->segments->len)
-		taken = settle_tail(scan, error);
+	result = read_header(scan, segment->first_index, error);
+	while (result > 0 && scan->offset < scan->file->len)
+		result = read_entry(scan, error);
+	if (result >= 0 && scan->position + 1 == store->segments->len)
+		result = rewrite_tail(scan, error);
 	g_byte_array_free(scan->file, TRUE);
 	scan->file = NULL;
-	return taken < 0 ? -1 : 0;
+	return result < 0 ? -1 : 0;
 }
 
 int log_recover(dy_store_t *store, GError **error)
@@ -271,25 +275,25 @@
 	scan_t scan = { .store = store };
 	uint64_t begin = store->first_index;
 
-	if (log_drop_covered(store, error))
+	if (log_remove_covered_segments(store, error))
 		return -1;
-	scan.marker = read_marker(store);
-	scan.expected = begin;
+	scan.marker_index = read_marker(store);
+	scan.next_index = begin;
 	if (store->segments->len)
-		scan.expected =
+		scan.next_index =
 			MIN(begin, g_array_index(store->segments, segment_t, 0)
 					   .first_index);
 	for (; scan.position < store->segments->len; scan.position++)
 		if (read_segment(&scan, error))
 			return -1;
-	if (scan.marker >= scan.expected && scan.marker >= begin)
+	if (scan.marker_index >= scan.next_index && scan.marker_index >= begin)
 		return store_corrupt("log", 0, "synced records are missing",
 				     error);
 	store->synced_index = dy_store_last_index(store);
-	if (scan.disagrees || scan.expected < begin)
-		return log_drop_all(store, error);
+	if (scan.conflicts_with_snapshot || scan.next_index < begin)
+		return log_clear(store, error);
 	if (store->tail < 0 && log_open_tail(store, error))
 		return -1;
-	/* The marker may have decayed itself. */
+	/* Rewritten since the marker itself may be corrupt. */
 	return log_write_marker(store, 1, error);
 }
--- a/src/process/group/store_snapshot.c
+++ b/src/process/group/store_snapshot.c
@@ -7,15 +7,14 @@
 #include "store_record.h"
 
 /*
- * The snapshot file: one record that tells what it covers, then the state
- * machine's bytes in chunks of DY_RAFT_CHUNK_BYTES, the last one shorter.
- * All chunks but the last take the same room, so that each is found without
- * an index.
+ * The snapshot file is one record of metadata, then the state machine's data
+ * in chunks of DY_RAFT_CHUNK_BYTES. The last chunk may be shorter. All other
+ * chunk records have the same size, so that no index is needed to find them.
  */
 
 #define SNAPSHOT_NAME "snapshot"
 #define SNAPSHOT_TEMPORARY "snapshot.tmp"
-/* Record header, kind, offset and length of data, data. */
+/* Record header; kind, offset and length of the data; data. */
 #define CHUNK_RECORD_BYTES (RECORD_HEADER_BYTES + 16 + DY_RAFT_CHUNK_BYTES)
 
 static uint64_t chunk_position(uint64_t start, uint64_t offset)
@@ -51,7 +50,7 @@
 		return;
 	if (writer->handle >= 0)
 		store->disk->close(store->disk->context, writer->handle);
-	/* What stays behind is removed when the folder is opened again. */
+	/* A file that remains is removed when the folder is opened again. */
 	if (!store->failed)
 		(void)store->disk->remove(store->disk->context,
 					  SNAPSHOT_TEMPORARY);
@@ -128,11 +127,11 @@
 	GByteArray *out = g_byte_array_new();
 	int failed;
 
-	chunk->offset = writer->taken;
+	chunk->offset = writer->data_bytes;
 	chunk->data.data_val = (char *)writer->chunk->data;
 	chunk->data.data_len = writer->chunk->len;
 	record_encode(out, &record, store->id.identity);
-	writer->taken += writer->chunk->len;
+	writer->data_bytes += writer->chunk->len;
 	g_byte_array_set_size(writer->chunk, 0);
 	failed = write_record(store, writer->file_size, out, error);
 	if (!failed)
@@ -144,18 +143,18 @@
 int dy_store_snapshot_add(dy_store_t *store, const void *data, size_t size,
 			  GError **error)
 {
-	size_t room;
+	size_t n;
 
 	if (store_check(store, error))
 		return -1;
 	if (!store->writer)
 		return fail_snapshot(store, "continue", -EINVAL, error);
 	while (size) {
-		room = DY_RAFT_CHUNK_BYTES - store->writer->chunk->len;
-		room = MIN(room, size);
-		g_byte_array_append(store->writer->chunk, data, room);
-		data = (const char *)data + room;
-		size -= room;
+		n = DY_RAFT_CHUNK_BYTES - store->writer->chunk->len;
+		n = MIN(n, size);
+		g_byte_array_append(store->writer->chunk, data, n);
+		data = (const char *)data + n;
+		size -= n;
 		if (store->writer->chunk->len == DY_RAFT_CHUNK_BYTES &&
 		    write_chunk(store, error))
 			return -1;
@@ -163,7 +162,7 @@
 	return 0;
 }
 
-/* Take the temporary file's place; the old snapshot is gone afterwards. */
+/* Rename the temporary file over the old snapshot. */
 static int replace_snapshot(dy_store_t *store, GError **error)
 {
 	snapshot_writer_t *writer = store->writer;
@@ -191,11 +190,11 @@
 		return fail_snapshot(store, "commit", -EINVAL, error);
 	if (store->writer->chunk->len && write_chunk(store, error))
 		return -1;
-	store->writer->meta.size = store->writer->taken;
+	store->writer->meta.size = store->writer->data_bytes;
 	if (write_meta(store, error) || replace_snapshot(store, error))
 		return -1;
 	dy_store_snapshot_abort(store);
-	return log_follow_snapshot(store, error);
+	return log_trim_to_snapshot(store, error);
 }
 
 const dy_store_snapshot_t *dy_store_snapshot(const dy_store_t *store)
@@ -261,7 +260,7 @@
 		memcpy(data, chunk->data.data_val, size);
 	else
 		size = store_corrupt(SNAPSHOT_NAME, position,
-				     "a chunk stands out of order", error);
+				     "a chunk is out of order", error);
 	record_drop(&record);
 	return size;
 }
