--- a/src/process/group/bootstrap.h
+++ b/src/process/group/bootstrap.h
@@ -2,8 +2,9 @@
 #define DAMASKYARD_BOOTSTRAP_H
 
 /*
- * Who founds the group, and what the leader does for those that want in.
- * Decisions alone: what was heard goes in, the next step comes out.
+ * Bootstrap of a control group, and the leader's decisions on controls that
+ * ask to join it. The module decides only: the caller passes in the HELLO
+ * messages and carries out the next step.
  */
 
 #include <stdint.h>
@@ -11,63 +12,73 @@
 #include "damaskyard/control.h"
 #include "dy_group.h"
 
-/* A wish to join counts for so long after it was last heard, in ms. */
+/* Time to live of a join request, in ms. */
 #define JOIN_REQUEST_TTL_MS 2000
 
 /*
- * A member that did not answer for so long, in ms, may be replaced: ten
- * elections. A second process started by mistake with a slot that is in use
- * replaces nobody.
+ * A member without a reply for this time, in ms, may be replaced. It covers
+ * ten election timeouts. Guards against a second process that was started by
+ * mistake with a slot in use: it must not replace the member.
  */
 #define MEMBER_TIMEOUT_MS 3000
 
 /* Entries that a learner may lack and still count as caught up. */
-#define CAUGHT_UP_ENTRIES 256
+#define LEARNER_MAX_LAG_ENTRIES 256
 
+/* What the HELLO messages from one slot said. */
 typedef struct bootstrap_peer {
-	int answered;		/* to this very process */
-	int empty;		/* at its last answer */
-	uint64_t join_identity; /* identity that asked to join, or 0 */
-	uint64_t join_requested_ms;
-	int from_slot_address; /* asked from the slot's own address */
+	int answered;		    /* a HELLO of this very process */
+	int empty;		    /* its store, at its last answer */
+	uint64_t join_identity;	    /* identity that asked to join, or 0 */
+	uint64_t join_requested_ms; /* when it last asked */
+	int from_slot_address;	    /* it asked from the slot's own address */
 } bootstrap_peer_t;
 
 typedef struct bootstrap {
 	const dy_peers_t *peers;
 	uint32_t slot;
-	bootstrap_peer_t peer_states[DY_RAFT_MEMBERS_MAX + 1];
+	bootstrap_peer_t peer_states[DY_RAFT_MEMBERS_MAX + 1]; /* by slot */
 } bootstrap_t;
 
-void bootstrap_init(bootstrap_t *founding, const dy_peers_t *peers,
+/*
+ * Initialise for the control in slot. peers is kept by reference. There is
+ * nothing to free.
+ */
+void bootstrap_init(bootstrap_t *bootstrap, const dy_peers_t *peers,
 		    uint32_t slot);
 
-/* Note a HELLO; mine: it answers one of this process. */
-void bootstrap_receive_hello(bootstrap_t *founding, const dy_hello_t *hello,
-			     const dy_address_t *from, int mine,
+/*
+ * Record a HELLO message that came from address from. answers_us: it answers
+ * a HELLO of this process. A HELLO with an empty store is a join request.
+ * Messages from unknown slots are ignored.
+ */
+void bootstrap_receive_hello(bootstrap_t *bootstrap, const dy_hello_t *hello,
+			     const dy_address_t *from, int answers_us,
 			     uint64_t now_ms);
 
-/* Whether somebody asked for that slot a short time ago. */
-int bootstrap_is_slot_requested(const bootstrap_t *founding, uint32_t slot,
+/* Whether there is an unexpired join request for the slot. */
+int bootstrap_is_slot_requested(const bootstrap_t *bootstrap, uint32_t slot,
 				uint64_t now_ms);
 
 /*
- * Whether this control, whose store is empty, founds the group.
+ * Whether this control, whose store is empty, must bootstrap the group. It has
+ * the lowest slot, and every other peer has answered this very process that
+ * its store is empty.
  *
- * Guards against a second group beside the first, as when the disk of the
- * lowest slot was lost: every other peer must have answered this very
- * process that it holds nothing, and one that is in a group does not.
+ * Guards against a second group beside the first, as when the lowest slot
+ * lost its disk: a peer that is a member of a group does not answer so.
  */
-int bootstrap_is_due(const bootstrap_t *founding);
+int bootstrap_is_due(const bootstrap_t *bootstrap);
 
 typedef enum join_step {
 	JOIN_NONE,
-	JOIN_ADD,     /* id as a learner */
-	JOIN_PROMOTE, /* id, a learner */
-	JOIN_REMOVE,  /* id, replaced or never up */
-	JOIN_REFUSE   /* id: the slot's member is alive */
+	JOIN_ADD,     /* add id as a learner */
+	JOIN_PROMOTE, /* promote id, a learner */
+	JOIN_REMOVE,  /* remove id, which is replaced or did not come up */
+	JOIN_REFUSE   /* refuse id: the slot's member is alive */
 } join_step_t;
 
-/* What the leader knows of a member of the configuration. */
+/* What the leader has on a member of the configuration. */
 typedef struct join_member {
 	uint64_t identity; /* 0: there is none */
 	uint64_t lag;	   /* entries that it lacks */
@@ -75,12 +86,14 @@
 } join_member_t;
 
 /*
- * The leader's next step for one slot, given the voter and the learner that
- * stand in it. A learner first catches up, then the voter that it replaces
- * is removed, then it is promoted: in between the group votes with one less,
- * so that time is kept short.
+ * The leader's next step for one slot, given its voter and its learner. Sets
+ * identity to the member that the step is about.
+ *
+ * A learner catches up first, then the voter that it replaces is removed, then
+ * it is promoted. Between the last two steps the group has one voter less, so
+ * this order keeps that time short.
  */
-join_step_t bootstrap_next_join(const bootstrap_t *founding, uint32_t slot,
+join_step_t bootstrap_next_join(const bootstrap_t *bootstrap, uint32_t slot,
 				const join_member_t *voter,
 				const join_member_t *learner, uint64_t now_ms,
 				uint64_t *identity);
--- a/src/process/group/slot_claim.h
+++ b/src/process/group/slot_claim.h
@@ -2,12 +2,12 @@
 #define DAMASKYARD_SLOT_CLAIM_H
 
 /*
- * A control's place in an open group, found before it starts.
+ * Claims a slot in an open group, before the control starts.
  *
- * The first start of all: the seeds, in the order of their addresses, are the
- * founders, and need ask nobody. A control whose folder holds a store keeps
- * its slot. Any other asks the seeds, and whom they name, until the leader
- * gives it one.
+ * At the first start of the group the seeds take the slots in the order of
+ * their addresses, without asking anybody. A control whose data folder has a
+ * store keeps its slot. Any other control asks the seeds, and the leader that
+ * they name, until the leader assigns it a slot.
  */
 
 #include <glib.h>
@@ -16,9 +16,9 @@
 #include "damaskyard/flow_settings.h"
 
 /*
- * Find slot and peers for options, whose folder, group, listen and secrets
- * are set. Runs a loop of its own while it asks. Returns 1, 0 if it was told
- * to stop meanwhile, or -1 with error set.
+ * Set slot and peers of options, whose folder, group, listen and secrets must
+ * be set. Runs an event loop of its own while it waits for a slot. Returns 1,
+ * 0 if it was told to stop while it waited, or -1 with error set.
  */
 int slot_claim_run(dy_control_options_t *options,
 		   const dy_flow_settings_t *settings, GError **error);
--- a/tests/test_bootstrap.c
+++ b/tests/test_bootstrap.c
@@ -14,97 +14,101 @@
 	bootstrap_init(&bootstrap, &peers, slot);
 }
 
-static void hear(uint32_t slot, uint64_t identity, int empty, int mine,
-		 uint64_t now_ms)
+static void receive_hello(uint32_t slot, uint64_t identity, int empty,
+			  int answers_us, uint64_t now_ms)
 {
 	dy_hello_t hello = { .id = { slot, identity }, .empty = empty };
 
-	/* From another address than the slot's: a second process. */
-	bootstrap_receive_hello(&bootstrap, &hello, &peers.slots[1], mine,
+	/* From an address other than the slot's: a second process. */
+	bootstrap_receive_hello(&bootstrap, &hello, &peers.slots[1], answers_us,
 				now_ms);
 }
 
 /*
- * The disk of the lowest slot is lost and its control comes back empty. It
- * founds a second group beside the first, and an operator's change goes into
- * the one or the other.
+ * The control in the lowest slot loses its disk and returns empty. If it
+ * bootstraps a second group beside the first, an operator's change goes to
+ * either of them.
  */
-START_TEST(lost_disk_founds_no_second_group)
+START_TEST(lost_disk_does_not_bootstrap_second_group)
 {
 	begin(2);
-	hear(3, 30, 1, 1, 0);
+	receive_hello(3, 30, 1, 1, 0);
 	ck_assert(!bootstrap_is_due(&bootstrap));
-	hear(5, 50, 0, 1, 0);
+	receive_hello(5, 50, 0, 1, 0);
 	ck_assert(!bootstrap_is_due(&bootstrap));
-	/* An answer to an earlier process may be from before the group. */
-	hear(5, 50, 1, 0, 0);
+	/* An answer to an earlier process may date from before the group. */
+	receive_hello(5, 50, 1, 0, 0);
 	ck_assert(!bootstrap_is_due(&bootstrap));
-	hear(9, 90, 1, 1, 0);
-	hear(4000000000U, 90, 1, 1, 0);
+	receive_hello(9, 90, 1, 1, 0);
+	receive_hello(4000000000U, 90, 1, 1, 0);
 	ck_assert(!bootstrap_is_due(&bootstrap));
-	hear(5, 50, 1, 1, 0);
+	receive_hello(5, 50, 1, 1, 0);
 	ck_assert(bootstrap_is_due(&bootstrap));
 }
 END_TEST
 
-/* Two that found at once would be two groups: only the lowest slot does. */
-START_TEST(only_the_lowest_slot_founds)
+/* Controls that bootstrap at once would form two groups, so one slot may. */
+START_TEST(only_lowest_slot_bootstraps)
 {
 	begin(3);
-	hear(2, 20, 1, 1, 0);
-	hear(5, 50, 1, 1, 0);
+	receive_hello(2, 20, 1, 1, 0);
+	receive_hello(5, 50, 1, 1, 0);
 	ck_assert(!bootstrap_is_due(&bootstrap));
 }
 END_TEST
 
-static void hear_from(uint32_t slot, uint64_t identity,
-		      const dy_address_t *from, uint64_t now_ms)
+static void receive_hello_from(uint32_t slot, uint64_t identity,
+			       const dy_address_t *from, uint64_t now_ms)
 {
 	dy_hello_t hello = { .id = { slot, identity }, .empty = 1 };
 
 	bootstrap_receive_hello(&bootstrap, &hello, from, 0, now_ms);
 }
 
-static join_step_t next(const join_member_t *voter,
-			const join_member_t *learner, uint64_t now_ms,
-			uint64_t *identity)
+static join_step_t next_step(const join_member_t *voter,
+			     const join_member_t *learner, uint64_t now_ms,
+			     uint64_t *identity)
 {
 	return bootstrap_next_join(&bootstrap, 5, voter, learner, now_ms,
 				   identity);
 }
 
 /*
- * A second control is lost right after the first one's replacement began:
- * the group must not wait for a copy that is still on its way. So the new
- * one catches up first, and only then takes the lost one's place.
+ * A second control is lost right after the replacement of the first one
+ * started. The group must not depend on a member that is still copying the log.
+ * So the new control catches up first, and only then replaces the lost one.
  */
-START_TEST(replacement_catches_up_before_it_counts)
+START_TEST(replacement_catches_up_before_promotion)
 {
 	join_member_t none = { 0 };
 	join_member_t lost = { 50, 900, MEMBER_TIMEOUT_MS };
-	join_member_t learner = { 51, CAUGHT_UP_ENTRIES + 1, 0 };
+	join_member_t learner = { 51, LEARNER_MAX_LAG_ENTRIES + 1, 0 };
 	uint64_t identity = 0;
 
 	begin(2);
-	ck_assert_int_eq(next(&lost, &none, 0, &identity), JOIN_NONE);
-	hear(5, 51, 1, 0, 1000);
-	ck_assert_int_eq(next(&lost, &none, 1000, &identity), JOIN_ADD);
+	ck_assert_int_eq(next_step(&lost, &none, 0, &identity), JOIN_NONE);
+	receive_hello(5, 51, 1, 0, 1000);
+	ck_assert_int_eq(next_step(&lost, &none, 1000, &identity), JOIN_ADD);
 	ck_assert_uint_eq(identity, 51);
-	ck_assert_int_eq(next(&lost, &learner, 1000, &identity), JOIN_NONE);
-	learner.lag = CAUGHT_UP_ENTRIES;
-	ck_assert_int_eq(next(&lost, &learner, 1000, &identity), JOIN_REMOVE);
+	ck_assert_int_eq(next_step(&lost, &learner, 1000, &identity),
+			 JOIN_NONE);
+	learner.lag = LEARNER_MAX_LAG_ENTRIES;
+	ck_assert_int_eq(next_step(&lost, &learner, 1000, &identity),
+			 JOIN_REMOVE);
 	ck_assert_uint_eq(identity, 50);
-	ck_assert_int_eq(next(&none, &learner, 1000, &identity), JOIN_PROMOTE);
+	ck_assert_int_eq(next_step(&none, &learner, 1000, &identity),
+			 JOIN_PROMOTE);
 	ck_assert_uint_eq(identity, 51);
-	ck_assert_int_eq(next(&learner, &none, 1000, &identity), JOIN_NONE);
+	ck_assert_int_eq(next_step(&learner, &none, 1000, &identity),
+			 JOIN_NONE);
 }
 END_TEST
 
 /*
- * Somebody starts a second process with a slot that is in use. It would push
- * out the member that works, and each would push out the other for ever.
+ * A second process is started with a slot that is in use. If it replaced the
+ * working member, the two would replace each other for ever.
  */
-START_TEST(living_member_is_not_replaced)
+START_TEST(refuses_to_replace_responsive_member)
 {
 	join_member_t none = { 0 };
 	join_member_t voter = { 50, 0, MEMBER_TIMEOUT_MS - 1 };
@@ -112,29 +116,34 @@
 	uint64_t identity = 0;
 
 	begin(2);
-	hear(5, 51, 1, 0, 1000);
-	ck_assert_int_eq(next(&voter, &none, 1000, &identity), JOIN_REFUSE);
-	ck_assert_int_eq(next(&voter, &learner, 1000, &identity), JOIN_NONE);
-	/* A wish that is long past is none. */
+	receive_hello(5, 51, 1, 0, 1000);
+	ck_assert_int_eq(next_step(&voter, &none, 1000, &identity),
+			 JOIN_REFUSE);
+	ck_assert_int_eq(next_step(&voter, &learner, 1000, &identity),
+			 JOIN_NONE);
+	/* The join request has expired. */
 	voter.last_answer_age_ms = MEMBER_TIMEOUT_MS;
 	ck_assert_int_eq(
-		next(&voter, &none, 1001 + JOIN_REQUEST_TTL_MS, &identity),
+		next_step(&voter, &none, 1001 + JOIN_REQUEST_TTL_MS, &identity),
 		JOIN_NONE);
-	/* A learner that died gives way to the next. */
+	/* A learner that timed out is replaced by the next one. */
 	learner.last_answer_age_ms = MEMBER_TIMEOUT_MS;
-	ck_assert_int_eq(next(&voter, &learner, 1000, &identity), JOIN_NONE);
-	hear(5, 52, 1, 0, 1000);
-	ck_assert_int_eq(next(&voter, &learner, 1000, &identity), JOIN_REMOVE);
+	ck_assert_int_eq(next_step(&voter, &learner, 1000, &identity),
+			 JOIN_NONE);
+	receive_hello(5, 52, 1, 0, 1000);
+	ck_assert_int_eq(next_step(&voter, &learner, 1000, &identity),
+			 JOIN_REMOVE);
 	ck_assert_uint_eq(identity, 51);
 }
 END_TEST
 
 /*
- * A control's disk is lost, and its VM is back with an empty one. Waiting until
- * the identity of before was silent for long keeps the group from bearing the
- * next loss; its address says that nobody else is there.
+ * A control loses its disk, and its VM is back with an empty one. If the leader
+ * waits until the old identity times out, the group cannot tolerate another
+ * loss meanwhile. The request comes from the slot's own address, which proves
+ * that the old process has ended.
  */
-START_TEST(control_that_lost_its_disk_is_replaced_without_waiting)
+START_TEST(replaces_at_once_if_request_is_from_slot_address)
 {
 	join_member_t none = { 0 };
 	join_member_t lost = { 50, 900, 0 };
@@ -142,17 +151,20 @@
 	uint64_t identity = 0;
 
 	begin(2);
-	hear_from(5, 51, &peers.slots[3], 1000);
-	ck_assert_int_eq(next(&lost, &none, 1000, &identity), JOIN_REFUSE);
-	hear_from(5, 51, &peers.slots[5], 1000);
-	ck_assert_int_eq(next(&lost, &none, 1000, &identity), JOIN_ADD);
-	ck_assert_int_eq(next(&lost, &learner, 1000, &identity), JOIN_REMOVE);
+	receive_hello_from(5, 51, &peers.slots[3], 1000);
+	ck_assert_int_eq(next_step(&lost, &none, 1000, &identity), JOIN_REFUSE);
+	receive_hello_from(5, 51, &peers.slots[5], 1000);
+	ck_assert_int_eq(next_step(&lost, &none, 1000, &identity), JOIN_ADD);
+	ck_assert_int_eq(next_step(&lost, &learner, 1000, &identity),
+			 JOIN_REMOVE);
 	ck_assert_uint_eq(identity, 50);
 }
 END_TEST
 
-/* A wrong --peers names itself and says what is allowed. */
-START_TEST(wrong_peers_are_refused)
+/*
+ * The error message of an invalid --peers names the value and what is allowed.
+ */
+START_TEST(refuses_invalid_peers)
 {
 	static const char *const wrong[] = {
 		"",
@@ -183,14 +195,14 @@
 int main(void)
 {
 	const TTest *const tests[] = {
-		lost_disk_founds_no_second_group,
-		only_the_lowest_slot_founds,
-		replacement_catches_up_before_it_counts,
-		living_member_is_not_replaced,
-		control_that_lost_its_disk_is_replaced_without_waiting,
-		wrong_peers_are_refused,
+		lost_disk_does_not_bootstrap_second_group,
+		only_lowest_slot_bootstraps,
+		replacement_catches_up_before_promotion,
+		refuses_to_replace_responsive_member,
+		replaces_at_once_if_request_is_from_slot_address,
+		refuses_invalid_peers,
 		NULL,
 	};
 
-	return fake_suite_run("founding", tests);
+	return fake_suite_run("bootstrap", tests);
 }
--- a/tests/test_slot_claim.c
+++ b/tests/test_slot_claim.c
@@ -1,4 +1,4 @@
-/* Controls that find their place in an open group that runs already. */
+/* Controls that claim a slot in an open group that is running. */
 
 #include <string.h>
 
@@ -8,33 +8,33 @@
 #include "fake_suite.h"
 
 #define GROUP 1
-#define ASKERS 3
+#define CLAIMANTS 3
 #define WAIT_TICKS 2000
 
-typedef struct asker {
+typedef struct claimant {
 	dy_endpoint_t *endpoint;
 	dy_seal_t *seal;
 	dy_place_t place;
 	int answered;
-} asker_t;
+} claimant_t;
 
 static fake_control_t world;
-static asker_t askers[ASKERS];
+static claimant_t claimants[CLAIMANTS];
 
-static void on_answer(void *context, uint8_t *bytes, size_t len,
-		      const struct sockaddr *from, int truncated)
+static void on_datagram(void *context, uint8_t *bytes, size_t len,
+			const struct sockaddr *from, int truncated)
 {
-	asker_t *asker = context;
+	claimant_t *claimant = context;
 	dy_sealed_t message;
 
 	(void)from;
 	(void)truncated;
-	if (dy_seal_open(asker->seal, bytes, len, &message) != DY_SEAL_OK ||
+	if (dy_seal_open(claimant->seal, bytes, len, &message) != DY_SEAL_OK ||
 	    message.procedure != DY_GROUP_PLACE)
 		return;
 	ck_assert(dy_sealed_load(&message, (xdrproc_t)xdr_dy_place_t,
-				 &asker->place, sizeof(asker->place)));
-	asker->answered = 1;
+				 &claimant->place, sizeof(claimant->place)));
+	claimant->answered = 1;
 }
 
 static void begin(void)
@@ -45,11 +45,11 @@
 	fake_control_init(&world);
 	fake_control_start(&world);
 	dy_address_parse("127.0.0.1:0", &any);
-	for (i = 0; i < ASKERS; i++) {
-		askers[i].seal =
+	for (i = 0; i < CLAIMANTS; i++) {
+		claimants[i].seal =
 			dy_seal_create(&world.options.secrets, world.metrics);
-		askers[i].endpoint = dy_endpoint_create(
-			world.loop, &any, on_answer, &askers[i], NULL);
+		claimants[i].endpoint = dy_endpoint_create(
+			world.loop, &any, on_datagram, &claimants[i], NULL);
 	}
 }
 
@@ -57,15 +57,15 @@
 {
 	int i;
 
-	for (i = 0; i < ASKERS; i++) {
-		dy_endpoint_destroy(askers[i].endpoint);
-		dy_seal_destroy(askers[i].seal);
+	for (i = 0; i < CLAIMANTS; i++) {
+		dy_endpoint_destroy(claimants[i].endpoint);
+		dy_seal_destroy(claimants[i].seal);
 	}
 	fake_control_stop(&world);
 	fake_control_clear(&world);
 }
 
-static void ask(asker_t *asker, uint64_t group, uint64_t identity)
+static void send_find(claimant_t *claimant, uint64_t group, uint64_t identity)
 {
 	dy_seal_head_t head = { 0, DY_GROUP_PROGRAM, DY_GROUP_FIND };
 	uint8_t out[1024];
@@ -76,85 +76,91 @@
 	find.id.slot = 9;
 	find.id.identity = identity;
 	find.echo = 77;
-	len = dy_seal_write_call(asker->seal, &head, (xdrproc_t)xdr_dy_find_t,
-				 &find, out, sizeof(out));
-	asker->answered = 0;
-	dy_endpoint_send_to(asker->endpoint, out, len, &world.options.listen);
+	len = dy_seal_write_call(claimant->seal, &head,
+				 (xdrproc_t)xdr_dy_find_t, &find, out,
+				 sizeof(out));
+	claimant->answered = 0;
+	dy_endpoint_send_to(claimant->endpoint, out, len,
+			    &world.options.listen);
 }
 
-/* Ask again, as a control does, until the group serves. */
-static const dy_place_t *ask_until(asker_t *asker, uint64_t identity)
+/* Repeat the request, as a control does, until the group decides. */
+static const dy_place_t *request_until_decided(claimant_t *claimant,
+					       uint64_t identity)
 {
 	unsigned tries = 0;
 
 	do {
-		ask(asker, GROUP, identity);
+		send_find(claimant, GROUP, identity);
 		fake_control_run(&world, 10, NULL);
 		ck_assert_uint_lt(++tries, WAIT_TICKS / 10);
-	} while (!asker->answered || asker->place.status == DY_PLACE_UNKNOWN ||
-		 asker->place.status == DY_PLACE_ASK);
-	ck_assert_uint_eq(asker->place.echo, 77);
-	return &asker->place;
+	} while (!claimant->answered ||
+		 claimant->place.status == DY_PLACE_UNKNOWN ||
+		 claimant->place.status == DY_PLACE_ASK);
+	ck_assert_uint_eq(claimant->place.echo, 77);
+	return &claimant->place;
 }
 
 /*
- * All machines start within a moment, and three controls that are no founders
- * ask for their place. Given the same one, two of them wait in it for ever,
- * and the group never grows to what bears the losses it should.
+ * All VMs start at the same time, and three controls that are no seeds request
+ * a slot. If they are assigned the same one, two of them wait in it for ever,
+ * and the group never grows to the size that tolerates the losses it is set
+ * for.
  */
-START_TEST(those_that_ask_at_once_get_places_of_their_own)
+START_TEST(concurrent_claimants_get_distinct_slots)
 {
 	unsigned slots = 0;
 	int i;
 
 	begin();
-	for (i = 0; i < ASKERS; i++)
-		ask_until(&askers[i], 0);
-	for (i = 0; i < ASKERS; i++)
-		ask(&askers[i], GROUP, 0);
+	for (i = 0; i < CLAIMANTS; i++)
+		request_until_decided(&claimants[i], 0);
+	for (i = 0; i < CLAIMANTS; i++)
+		send_find(&claimants[i], GROUP, 0);
 	fake_control_run(&world, 20, NULL);
-	for (i = 0; i < ASKERS; i++) {
-		ck_assert_int_eq(askers[i].place.status, DY_PLACE_GIVEN);
-		ck_assert_uint_gt(askers[i].place.slot, 1);
-		slots |= 1u << askers[i].place.slot;
+	for (i = 0; i < CLAIMANTS; i++) {
+		ck_assert_int_eq(claimants[i].place.status, DY_PLACE_GIVEN);
+		ck_assert_uint_gt(claimants[i].place.slot, 1);
+		slots |= 1u << claimants[i].place.slot;
 	}
 	ck_assert_uint_eq(slots, 1u << 2 | 1u << 3 | 1u << 4);
-	/* Asked again, each is given the same one. */
-	ck_assert_uint_eq(ask_until(&askers[1], 0)->slot, 3);
+	/* A repeated request gets the same slot. */
+	ck_assert_uint_eq(request_until_decided(&claimants[1], 0)->slot, 3);
 	end();
 }
 END_TEST
 
 /*
- * A member was let go while it was cut off. It would wait for a leader for
- * ever, since nobody sends to it any more.
+ * A member was removed while it was partitioned. Nobody sends to it any more,
+ * so it would wait for a leader for ever.
  */
-START_TEST(one_that_is_no_member_any_more_is_told)
+START_TEST(reports_lost_membership)
 {
 	begin();
-	ck_assert_int_eq(ask_until(&askers[0], 12345)->status, DY_PLACE_LOST);
+	ck_assert_int_eq(request_until_decided(&claimants[0], 12345)->status,
+			 DY_PLACE_LOST);
 	end();
 }
 END_TEST
 
-/* A control of another group that shares the addresses gets no answer. */
-START_TEST(other_groups_are_not_answered)
+/* A control of another group that uses the same addresses gets no answer. */
+START_TEST(ignores_claim_for_other_group)
 {
 	begin();
-	ask_until(&askers[0], 0);
-	ask(&askers[1], GROUP + 1, 0);
+	request_until_decided(&claimants[0], 0);
+	send_find(&claimants[1], GROUP + 1, 0);
 	fake_control_run(&world, 20, NULL);
-	ck_assert(!askers[1].answered);
+	ck_assert(!claimants[1].answered);
 	end();
 }
 END_TEST
 
-/* A control that says that it is empty, and never takes part. */
-static void on_group_message(void *context, uint8_t *bytes, size_t len,
-			     const struct sockaddr *from, int truncated)
+/* A control that reports an empty store and takes no further part. */
+static void answer_as_empty_control(void *context, uint8_t *bytes, size_t len,
+				    const struct sockaddr *from, int truncated)
 {
 	dy_seal_head_t head = { 0, DY_GROUP_PROGRAM, DY_GROUP_HELLO };
-	asker_t *third = context;
+	claimant_t *third = context;
 	dy_hello_t hello = { 0 };
 	dy_sealed_t message;
 	uint8_t out[1024];
@@ -173,8 +179,8 @@
 	dy_endpoint_send(third->endpoint, out, len, from);
 }
 
-static int take_any(void *context, const uint8_t *bytes, size_t size,
-		    char *message, size_t message_size)
+static int accept_any_document(void *context, const uint8_t *bytes, size_t size,
+			       char *message, size_t message_size)
 {
 	(void)context;
 	(void)bytes;
@@ -184,48 +190,49 @@
 	return 1;
 }
 
-static void on_raised(void *context, dy_status_t status, const char *message)
+static void on_published(void *context, dy_status_t status, const char *message)
 {
 	(void)message;
 	*(int *)context = (int)status;
 }
 
 /*
- * The group was just founded, two of its three controls vote, and a document
- * is acknowledged. Then one of the two loses its disk: nobody can be elected,
- * and nobody can be taken in, though one loss is to be borne.
+ * A group was just bootstrapped, two of its three controls are voters, and a
+ * document is acknowledged. If one of the two then loses its disk, no leader
+ * can be elected and no control can join, though the group should tolerate one
+ * loss.
  */
-START_TEST(group_serves_only_once_it_bears_a_loss)
+START_TEST(refuses_publish_until_one_loss_is_tolerated)
 {
 	dy_control_options_t options;
 	dy_control_t *second;
-	asker_t third = { 0 };
+	claimant_t third = { 0 };
 	int status = -1;
 	int i;
 
 	fake_control_init(&world);
-	world.options.check = take_any;
+	world.options.check = accept_any_document;
 	world.options.peers.count = 3;
 	world.options.peers.slots[2] = fake_control_unused_address(&world);
 	third.seal = dy_seal_create(&world.options.secrets, world.metrics);
 	dy_address_parse("127.0.0.1:0", &world.options.peers.slots[3]);
 	third.endpoint =
 		dy_endpoint_create(world.loop, &world.options.peers.slots[3],
-				   on_group_message, &third, NULL);
+				   answer_as_empty_control, &third, NULL);
 	world.options.peers.slots[3] = *dy_endpoint_address(third.endpoint);
 	options = world.options;
 	options.slot = 2;
 	options.listen = options.peers.slots[2];
-	options.folder = g_dir_make_tmp("dy-place-XXXXXX", NULL);
+	options.folder = g_dir_make_tmp("dy-slots-XXXXXX", NULL);
 	fake_control_start(&world);
 	second = dy_control_create(world.loop, world.metrics, &options, NULL);
 	for (i = 0; i < 15; i++) {
 		fake_control_run(&world, 20, NULL);
 		dy_control_publish(world.control, (const uint8_t *)"x", 1, 1,
-				   on_raised, &status);
+				   on_published, &status);
 		ck_assert_int_ne(status, DY_STATUS_OK);
 	}
-	/* Both are in the group by now. */
+	/* Both controls are members by now. */
 	ck_assert_uint_ge(dy_metrics_value(world.metrics, "control_promoted"),
 			  1);
 	dy_control_destroy(second);
@@ -240,12 +247,12 @@
 int main(void)
 {
 	const TTest *const tests[] = {
-		those_that_ask_at_once_get_places_of_their_own,
-		one_that_is_no_member_any_more_is_told,
-		other_groups_are_not_answered,
-		group_serves_only_once_it_bears_a_loss,
+		concurrent_claimants_get_distinct_slots,
+		reports_lost_membership,
+		ignores_claim_for_other_group,
+		refuses_publish_until_one_loss_is_tolerated,
 		NULL,
 	};
 
-	return fake_suite_run("place", tests);
+	return fake_suite_run("slot_claim", tests);
 }
