--- a/tests/fake_disk.c
+++ b/tests/fake_disk.c
@@ -6,9 +6,9 @@
 #define SECTOR_BYTES 512
 
 typedef struct fake_file {
-	GByteArray *seen;
+	GByteArray *cached;
 	GByteArray *durable;
-	/* One byte a sector: written and not synced. */
+	/* One byte for each sector: written and not synced. */
 	GByteArray *dirty;
 } fake_file_t;
 
@@ -16,7 +16,7 @@
 {
 	fake_file_t *file = data;
 
-	g_byte_array_free(file->seen, TRUE);
+	g_byte_array_free(file->cached, TRUE);
 	g_byte_array_free(file->durable, TRUE);
 	g_byte_array_free(file->dirty, TRUE);
 	g_free(file);
@@ -62,7 +62,7 @@
 		return -ENOENT;
 	if (!file) {
 		file = g_new0(fake_file_t, 1);
-		file->seen = g_byte_array_new();
+		file->cached = g_byte_array_new();
 		file->durable = g_byte_array_new();
 		file->dirty = g_byte_array_new();
 		g_ptr_array_add(disk->files, file);
@@ -88,10 +88,10 @@
 
 	if (stopped(disk))
 		return -EIO;
-	if (offset >= file->seen->len)
+	if (offset >= file->cached->len)
 		return 0;
-	size = MIN(size, file->seen->len - offset);
-	memcpy(data, file->seen->data + offset, size);
+	size = MIN(size, file->cached->len - offset);
+	memcpy(data, file->cached->data + offset, size);
 	return (int64_t)size;
 }
 
@@ -111,10 +111,10 @@
 		disk->writes_left = 0;
 		size /= 2;
 	}
-	if (offset + size > file->seen->len)
-		resize(file->seen, offset + size);
-	resize(file->dirty, file->seen->len / SECTOR_BYTES + 1);
-	memcpy(file->seen->data + offset, data, size);
+	if (offset + size > file->cached->len)
+		resize(file->cached, offset + size);
+	resize(file->dirty, file->cached->len / SECTOR_BYTES + 1);
+	memcpy(file->cached->data + offset, data, size);
 	for (i = offset / SECTOR_BYTES; i * SECTOR_BYTES < offset + size; i++)
 		file->dirty->data[i] = 1;
 	return (int64_t)size;
@@ -127,7 +127,7 @@
 
 	if (stopped(disk))
 		return -EIO;
-	resize(file->seen, size);
+	resize(file->cached, size);
 	resize(file->dirty, size / SECTOR_BYTES + 1);
 	return 0;
 }
@@ -136,10 +136,10 @@
 {
 	guint from = sector * SECTOR_BYTES;
 	guint end = MIN(from + SECTOR_BYTES,
-			MIN(file->seen->len, file->durable->len));
+			MIN(file->cached->len, file->durable->len));
 
 	if (from < end)
-		memcpy(file->durable->data + from, file->seen->data + from,
+		memcpy(file->durable->data + from, file->cached->data + from,
 		       end - from);
 }
 
@@ -153,9 +153,9 @@
 	if (stopped(disk))
 		return -EIO;
 	disk->sync_count++;
-	/* As Linux does: a failed sync leaves the pages marked clean. */
+	/* As on Linux, a failed sync leaves the pages marked clean. */
 	if (!failed)
-		resize(file->durable, file->seen->len);
+		resize(file->durable, file->cached->len);
 	for (i = 0; i < file->dirty->len; i++) {
 		if (!failed && file->dirty->data[i])
 			copy_sector(file, i);
@@ -170,7 +170,7 @@
 
 	if (stopped(disk))
 		return -EIO;
-	return at_handle(disk, handle)->seen->len;
+	return at_handle(disk, handle)->cached->len;
 }
 
 static int fake_rename(void *context, const char *from, const char *to)
@@ -287,40 +287,40 @@
 
 static void crash_file(fake_disk_t *disk, fake_file_t *file)
 {
-	guint seen = file->seen->len;
+	guint cached = file->cached->len;
 	guint durable = file->durable->len;
 	guint i;
 
-	if (seen > durable)
+	if (cached > durable)
 		resize(file->durable,
 		       durable + g_rand_int_range(disk->rand, 0,
-						  (int)(seen - durable) + 1));
-	else if (seen < durable && g_rand_boolean(disk->rand))
-		resize(file->durable, seen);
+						  (int)(cached - durable) + 1));
+	else if (cached < durable && g_rand_boolean(disk->rand))
+		resize(file->durable, cached);
 	for (i = 0; i < file->dirty->len; i++)
 		if (file->dirty->data[i] && g_rand_boolean(disk->rand))
 			copy_sector(file, i);
-	g_byte_array_set_size(file->seen, 0);
-	g_byte_array_append(file->seen, file->durable->data,
+	g_byte_array_set_size(file->cached, 0);
+	g_byte_array_append(file->cached, file->durable->data,
 			    file->durable->len);
 	g_byte_array_set_size(file->dirty, 0);
 }
 
-/* A name that differs survives as seen or as it was, by a draw. */
+/* A name that differs survives as cached or as on disk, by random choice. */
 static void crash_names(fake_disk_t *disk, GHashTable *names, GHashTable *out)
 {
 	GList *sorted = sorted_names(names);
-	gpointer seen;
+	gpointer cached;
 	gpointer durable;
 	GList *at;
 
 	for (at = sorted; at; at = at->next) {
-		seen = g_hash_table_lookup(disk->cached, at->data);
+		cached = g_hash_table_lookup(disk->cached, at->data);
 		durable = g_hash_table_lookup(disk->durable, at->data);
 		if (g_hash_table_contains(out, at->data))
 			continue;
-		if (seen != durable && g_rand_boolean(disk->rand))
-			durable = seen;
+		if (cached != durable && g_rand_boolean(disk->rand))
+			durable = cached;
 		if (durable)
 			g_hash_table_insert(out, g_strdup(at->data), durable);
 	}
@@ -354,11 +354,11 @@
 {
 	fake_file_t *file = g_hash_table_lookup(disk->cached, name);
 
-	if (!file || offset >= file->seen->len)
+	if (!file || offset >= file->cached->len)
 		return 0;
-	file->seen->data[offset] ^= 0x10;
+	file->cached->data[offset] ^= 0x10;
 	if (offset < file->durable->len)
-		file->durable->data[offset] = file->seen->data[offset];
+		file->durable->data[offset] = file->cached->data[offset];
 	return 1;
 }
 
@@ -366,7 +366,7 @@
 {
 	const fake_file_t *file = g_hash_table_lookup(disk->cached, name);
 
-	return file ? (int64_t)file->seen->len : -1;
+	return file ? (int64_t)file->cached->len : -1;
 }
 
 void fake_disk_remove(fake_disk_t *disk, const char *name)
--- a/tests/fake_group.c
+++ b/tests/fake_group.c
@@ -4,40 +4,40 @@
 
 #include <rpc/rpc.h>
 
-/* So that a snapshot takes three chunks. */
+/* Makes a snapshot take three chunks. */
 #define FILLER_BYTES 40000
 #define MEMBER_SEED_STEP 1000
 
-typedef struct packet {
+typedef struct datagram {
 	uint32_t to_slot;
-	int side;
+	int partition;
 	uint64_t due_ms;
 	uint32_t size;
 	char data[];
-} packet_t;
+} datagram_t;
 
-typedef struct logged {
+typedef struct applied {
 	uint64_t command;
-	uint64_t chain;
+	uint64_t state_hash;
 	uint64_t term;
-} logged_t;
+} applied_t;
 
 typedef struct pending {
 	fake_group_t *group;
 	fake_member_t *member;
 	uint64_t command;
-	uint64_t floor;
+	uint64_t min_index;
 } pending_t;
 
-static logged_t *logged_at(fake_group_t *group, uint64_t index)
+static applied_t *applied_at(fake_group_t *group, uint64_t index)
 {
 	if (index >= group->log->len)
 		g_array_set_size(group->log, index + 1);
-	return &g_array_index(group->log, logged_t, index);
+	return &g_array_index(group->log, applied_t, index);
 }
 
-/* Note value under key; it must be the first, or the same as before. */
-static void note_unique(GHashTable *table, const char *key, uint64_t value)
+/* Check that key has no value yet or this value; record it. */
+static void check_unique(GHashTable *table, const char *key, uint64_t value)
 {
 	uint64_t *known = g_hash_table_lookup(table, key);
 
@@ -48,7 +48,7 @@
 		FAKE_CHECK(*known == value);
 }
 
-static void watch_vote(fake_group_t *group, const dy_raft_message_t *message)
+static void check_vote(fake_group_t *group, const dy_raft_message_t *message)
 {
 	const dy_raft_vote_reply_t *reply =
 		&message->body.dy_raft_body_t_u.vote_reply;
@@ -60,29 +60,31 @@
 	snprintf(key, sizeof(key), "%llx %llu",
 		 (unsigned long long)message->from.identity,
 		 (unsigned long long)message->term);
-	note_unique(group->votes, key, message->to.identity);
+	check_unique(group->votes, key, message->to.identity);
 }
 
-static void put_packet(fake_group_t *group, const dy_raft_message_t *message)
+static void enqueue_datagram(fake_group_t *group,
+			     const dy_raft_message_t *message)
 {
-	packet_t *packet = g_malloc(sizeof(*packet) + DY_RAFT_MESSAGE_BYTES);
+	datagram_t *datagram =
+		g_malloc(sizeof(*datagram) + DY_RAFT_MESSAGE_BYTES);
 	XDR xdr;
 
-	xdrmem_create(&xdr, packet->data, DY_RAFT_MESSAGE_BYTES, XDR_ENCODE);
+	xdrmem_create(&xdr, datagram->data, DY_RAFT_MESSAGE_BYTES, XDR_ENCODE);
 	FAKE_CHECK(xdr_dy_raft_message_t(&xdr, (dy_raft_message_t *)message));
-	packet->size = xdr_getpos(&xdr);
-	packet = g_realloc(packet, sizeof(*packet) + packet->size);
-	packet->to_slot = message->to.slot;
-	packet->side = group->members[message->from.slot].partition;
-	packet->due_ms =
+	datagram->size = xdr_getpos(&xdr);
+	datagram = g_realloc(datagram, sizeof(*datagram) + datagram->size);
+	datagram->to_slot = message->to.slot;
+	datagram->partition = group->members[message->from.slot].partition;
+	datagram->due_ms =
 		group->now_ms + 1 +
 		g_rand_int_range(group->rand, 0, (gint32)group->max_delay_ms);
-	g_ptr_array_add(group->in_flight, packet);
+	g_ptr_array_add(group->in_flight, datagram);
 }
 
 void fake_group_inject(fake_group_t *group, const dy_raft_message_t *message)
 {
-	put_packet(group, message);
+	enqueue_datagram(group, message);
 }
 
 static void member_send(void *context, const dy_raft_message_t *message)
@@ -93,19 +95,19 @@
 	FAKE_CHECK(message->from.identity == member->identity);
 	FAKE_CHECK(message->to.slot < group->size);
 	group->messages++;
-	watch_vote(group, message);
+	check_vote(group, message);
 	if (g_rand_int_range(group->rand, 0, 100) < group->loss_percent)
 		return;
-	put_packet(group, message);
+	enqueue_datagram(group, message);
 	if (g_rand_int_range(group->rand, 0, 100) < group->duplication_percent)
-		put_packet(group, message);
+		enqueue_datagram(group, message);
 }
 
 static void member_apply(void *context, const dy_raft_entry_t *entry)
 {
 	fake_member_t *member = context;
 	fake_group_t *group = member->group;
-	logged_t *logged = logged_at(group, entry->index);
+	applied_t *applied = applied_at(group, entry->index);
 	uint64_t command = 0;
 	char key[32];
 
@@ -115,18 +117,18 @@
 		FAKE_CHECK(entry->data.data_len >= sizeof(command));
 		memcpy(&command, entry->data.data_val, sizeof(command));
 		snprintf(key, sizeof(key), "%llu", (unsigned long long)command);
-		note_unique(group->commands, key, entry->index);
+		check_unique(group->commands, key, entry->index);
 	}
 	member->state_hash =
 		(member->state_hash ^ command) * 0x100000001b3ull + 1;
-	if (!logged->term) {
-		logged->term = entry->term;
-		logged->command = command;
-		logged->chain = member->state_hash;
+	if (!applied->term) {
+		applied->term = entry->term;
+		applied->command = command;
+		applied->state_hash = member->state_hash;
 	}
-	FAKE_CHECK(logged->term == entry->term);
-	FAKE_CHECK(logged->command == command);
-	FAKE_CHECK(logged->chain == member->state_hash);
+	FAKE_CHECK(applied->term == entry->term);
+	FAKE_CHECK(applied->command == command);
+	FAKE_CHECK(applied->state_hash == member->state_hash);
 }
 
 static int member_write_snapshot(void *context, dy_raft_add_cb_t *add,
@@ -135,7 +137,7 @@
 	const fake_member_t *member = context;
 	char filler[FILLER_BYTES];
 
-	/* Each member writes the same state in bytes of its own. */
+	/* Members encode the same state in different bytes. */
 	memset(filler, (int)(member->slot * 32 + member->applied_index % 32),
 	       sizeof(filler));
 	return add(add_context, &member->applied_index, 8) ||
@@ -164,8 +166,9 @@
 	memcpy(&member->state_hash, bytes + 8, 8);
 	for (n = 17; n < used; n++)
 		FAKE_CHECK(bytes[n] == bytes[16]);
-	FAKE_CHECK(logged_at(member->group, member->applied_index)->chain ==
-		   member->state_hash);
+	FAKE_CHECK(
+		applied_at(member->group, member->applied_index)->state_hash ==
+		member->state_hash);
 	return 0;
 }
 
@@ -179,7 +182,7 @@
 		return;
 	snprintf(key, sizeof(key), "%llu",
 		 (unsigned long long)dy_raft_term(member->raft));
-	note_unique(member->group->leaders, key, leader.identity);
+	check_unique(member->group->leaders, key, leader.identity);
 }
 
 static void member_failed(void *context, const GError *error)
@@ -215,7 +218,7 @@
 	member->store =
 		dy_store_create(&member->disk->table, &store_options, &error);
 	if (!member->store) {
-		/* A crash is no damage: only a failing disk may refuse. */
+		/* A crash must not damage the store: only I/O errors. */
 		fprintf(stderr, "slot %u: %s\n", member->slot, error->message);
 		FAKE_CHECK(g_error_matches(error, DY_STORE_ERROR,
 					   DY_STORE_ERROR_IO));
@@ -275,7 +278,7 @@
 	group->next_identity = 1000;
 	group->in_flight = g_ptr_array_new_with_free_func(g_free);
 	group->metrics = dy_metrics_create();
-	group->log = g_array_new(FALSE, TRUE, sizeof(logged_t));
+	group->log = g_array_new(FALSE, TRUE, sizeof(applied_t));
 	group->commands =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	group->votes =
@@ -314,37 +317,37 @@
 	g_free(group);
 }
 
-static void deliver(fake_group_t *group, const packet_t *packet)
+static void deliver(fake_group_t *group, const datagram_t *datagram)
 {
-	fake_member_t *member = &group->members[packet->to_slot];
+	fake_member_t *member = &group->members[datagram->to_slot];
 	dy_raft_message_t message;
 	XDR xdr;
 
-	if (!member->raft || member->partition != packet->side)
+	if (!member->raft || member->partition != datagram->partition)
 		return;
 	memset(&message, 0, sizeof(message));
-	xdrmem_create(&xdr, (char *)packet->data, packet->size, XDR_DECODE);
+	xdrmem_create(&xdr, (char *)datagram->data, datagram->size, XDR_DECODE);
 	FAKE_CHECK(xdr_dy_raft_message_t(&xdr, &message));
 	dy_raft_receive(member->raft, &message, group->now_ms);
 	xdr_free((xdrproc_t)xdr_dy_raft_message_t, &message);
 }
 
-/* What is for a frozen member waits in its socket. */
+/* Datagrams to a frozen member wait in its socket. */
 static void deliver_due(fake_group_t *group)
 {
-	packet_t *packet;
+	datagram_t *datagram;
 	guint i = 0;
 
 	while (i < group->in_flight->len) {
-		packet = g_ptr_array_index(group->in_flight, i);
-		if (packet->due_ms > group->now_ms ||
-		    group->members[packet->to_slot].frozen) {
+		datagram = g_ptr_array_index(group->in_flight, i);
+		if (datagram->due_ms > group->now_ms ||
+		    group->members[datagram->to_slot].frozen) {
 			i++;
 			continue;
 		}
-		packet = g_ptr_array_steal_index(group->in_flight, i);
-		deliver(group, packet);
-		g_free(packet);
+		datagram = g_ptr_array_steal_index(group->in_flight, i);
+		deliver(group, datagram);
+		g_free(datagram);
 	}
 }
 
@@ -415,7 +418,7 @@
 	fake_group_t *group = pending->group;
 
 	if (result == DY_RAFT_DONE) {
-		FAKE_CHECK(logged_at(group, index)->command ==
+		FAKE_CHECK(applied_at(group, index)->command ==
 			   pending->command);
 		FAKE_CHECK(pending->member->applied_index >= index);
 		group->acknowledged++;
@@ -435,7 +438,7 @@
 	pending->group = group;
 	pending->member = member;
 	pending->command = ++group->next_command;
-	pending->floor = group->acknowledged_index;
+	pending->min_index = group->acknowledged_index;
 	return pending;
 }
 
@@ -459,8 +462,9 @@
 	pending_t *pending = context;
 
 	if (result == DY_RAFT_DONE) {
-		FAKE_CHECK(index >= pending->floor);
-		FAKE_CHECK(pending->member->applied_index >= pending->floor);
+		FAKE_CHECK(index >= pending->min_index);
+		FAKE_CHECK(pending->member->applied_index >=
+			   pending->min_index);
 		pending->group->reads++;
 	} else {
 		FAKE_CHECK(result == DY_RAFT_NOT_LEADER);
--- a/tests/fake_group.h
+++ b/tests/fake_group.h
@@ -2,13 +2,14 @@
 #define FAKE_GROUP_H
 
 /*
- * A control group over fakes: members on disks in memory, a bag of datagrams
- * between them, one clock. Its oracle watches every callback and message:
+ * A simulated control group: members on disks in memory, a network of
+ * datagrams in flight, one clock. It checks these invariants at every callback
+ * and message:
  *
- * - an index holds the same command on every member, forever;
- * - a command is applied once, and an acknowledged one at the index named;
- * - a confirmed read finds all that was acknowledged before it began;
- * - an identity grants one vote a term, a term has one leader.
+ * - an index has the same command on every member, for ever;
+ * - a command is applied once, an acknowledged one at the index reported;
+ * - a confirmed read sees all that was acknowledged before it started;
+ * - an identity grants one vote in a term, and a term has one leader.
  */
 
 #include <stdio.h>
@@ -37,13 +38,13 @@
 	uint64_t identity;
 	fake_disk_t *disk;
 	dy_store_t *store;
-	/* NULL while it is down. */
+	/* NULL while the member is down. */
 	dy_raft_t *raft;
 	int frozen;
-	/* Members hear each other on the same side alone. */
+	/* Datagrams are delivered only within a partition. */
 	int partition;
 	int disk_failed;
-	/* The state machine: a chain over the commands applied. */
+	/* The state machine: a hash chain over the commands applied. */
 	uint64_t applied_index;
 	uint64_t state_hash;
 } fake_member_t;
@@ -55,17 +56,17 @@
 	GRand *rand;
 	GPtrArray *in_flight;
 	dy_metrics_t *metrics;
-	/* In percent. */
+	/* Datagrams lost and duplicated, in percent. */
 	int loss_percent;
 	int duplication_percent;
-	/* Longest way of a datagram. */
+	/* Maximum latency of a datagram; the actual one is random. */
 	uint32_t max_delay_ms;
-	/* For members that are started from now on; 0: the default. */
+	/* Option of members started from now on; 0: the default. */
 	uint32_t first_election_ms;
 	uint64_t next_command;
 	uint64_t next_identity;
 	uint64_t messages;
-	/* The oracle: by index, by command, by vote, by term. */
+	/* State of the checks: by index, by command, by vote, by term. */
 	GArray *log;
 	GHashTable *commands;
 	GHashTable *votes;
@@ -79,52 +80,60 @@
 	dy_raft_result_t last_change;
 };
 
-/* All members are started; slot 0 is bootstrapped. */
+/* Create and start size members; slot 0 is bootstrapped. */
 fake_group_t *fake_group_create(uint32_t seed, uint32_t size);
 void fake_group_destroy(fake_group_t *group);
 
-/* Let time pass, deliver what is due, tick and flush. */
+/* Advance the clock by ms, deliver due datagrams, tick and flush. */
 void fake_group_step(fake_group_t *group, uint32_t ms);
+/* Step by 5 ms until ms have passed. */
 void fake_group_run(fake_group_t *group, uint32_t ms);
 
 /*
- * Do what an operator does next to make every member's present identity a
- * voter and no other; returns 1 once it is so, and committed.
+ * Take an operator's next step towards a group whose voters are the members'
+ * current identities and no others. Returns 1 once this is committed, else 0.
  */
 int fake_group_reconcile(fake_group_t *group);
 
-/* Maintain until it is done, within limit_ms. Returns whether it was. */
+/* Reconcile until done, for at most limit_ms. Returns whether it is done. */
 int fake_group_form(fake_group_t *group, uint32_t limit_ms);
 
-/* The leader with the greatest term among those that run, or NULL. */
+/* The leader of the highest term among running members, or NULL. */
 fake_member_t *fake_group_leader(fake_group_t *group);
-/* Run until a leader has committed an entry of its term. */
+/* Run until a leader has committed an entry of its term; return it. */
 fake_member_t *fake_group_await_leader(fake_group_t *group);
 
-/* Propose one command, or read, at member; follow it through the oracle. */
+/*
+ * Propose one command, or start a read, at member. Its completion is checked
+ * against the invariants.
+ */
 dy_raft_result_t fake_group_propose(fake_group_t *group, fake_member_t *member);
 dy_raft_result_t fake_group_read(fake_group_t *group, fake_member_t *member);
 
 void fake_group_stop(fake_member_t *member);
 void fake_group_start(fake_member_t *member);
-/* Loss of power, or of the process alone; the member is down then. */
+/* Power loss, or crash of the process alone. The member stays down. */
 void fake_group_crash(fake_member_t *member, int power);
-/* The disk is lost; the member is down and will start as another. */
+/* Disk loss. The member stays down and restarts with a new identity. */
 void fake_group_wipe(fake_member_t *member);
 
-/* All heal; every member must come to hold all that was acknowledged. */
+/*
+ * Clear all faults, start all members, and check that each of them applies
+ * all that was acknowledged.
+ */
 void fake_group_converge(fake_group_t *group);
 
-/* A group whose slots are all voters, a little after it formed. */
+/* Create a group whose members are all voters. */
 fake_group_t *fake_group_create_formed(uint32_t seed, uint32_t size);
-/* Propose to whoever leads, and see all of it acknowledged. */
+/* Propose count commands to the leader; check that all are acknowledged. */
 void fake_group_commit(fake_group_t *group, int count);
+/* Value of a counter, summed over all members. */
 uint64_t fake_group_counter(const fake_group_t *group, const char *name);
-/* Another member than this one. */
+/* The member in the next slot. */
 fake_member_t *fake_group_other_member(fake_group_t *group,
 				       const fake_member_t *member);
 
-/* Put a message of the test's own into the bag. */
+/* Send a message that the test made. */
 void fake_group_inject(fake_group_t *group, const dy_raft_message_t *message);
 
 #endif
--- a/tests/fake_group_operator.c
+++ b/tests/fake_group_operator.c
@@ -1,6 +1,6 @@
 #include "fake_group.h"
 
-/* What an operator does with a group of fakes, and what a test asks of it. */
+/* Operator's actions on a simulated group, and helpers of tests. */
 
 static void on_changed(void *context, dy_raft_result_t result, uint64_t index)
 {
@@ -9,7 +9,7 @@
 	group->last_change = result;
 }
 
-/* The member of the configuration that the operator would remove. */
+/* A member whose identity was lost with its disk, or NULL. */
 static const dy_raft_member_t *find_stale(fake_group_t *group,
 					  const dy_raft_config_t *config)
 {
@@ -25,8 +25,8 @@
 	return NULL;
 }
 
-static const dy_raft_member_t *find_in(const dy_raft_config_t *config,
-				       dy_voter_id_t id)
+static const dy_raft_member_t *find_member(const dy_raft_config_t *config,
+					   dy_voter_id_t id)
 {
 	u_int i;
 
@@ -50,7 +50,7 @@
 	for (i = 0; i < group->size; i++) {
 		id.slot = i;
 		id.identity = group->members[i].identity;
-		if (find_in(config, id))
+		if (find_member(config, id))
 			continue;
 		(void)dy_raft_add_learner(leader->raft, id, "slot", on_changed,
 					  group);
@@ -65,12 +65,12 @@
 	for (i = 0; i < group->size; i++) {
 		id.slot = i;
 		id.identity = group->members[i].identity;
-		if (find_in(config, id)->role == DY_MEMBER_VOTER)
+		if (find_member(config, id)->role == DY_MEMBER_VOTER)
 			continue;
 		(void)dy_raft_promote(leader->raft, id, on_changed, group);
 		return 0;
 	}
-	/* Anything that is refused now shows a change under way. */
+	/* REFUSED shows that no change is in progress; BUSY that one is. */
 	id.identity = 0;
 	return dy_raft_add_learner(leader->raft, id, "", NULL, NULL) ==
 	       DY_RAFT_REFUSED;
--- a/tests/fake_store.c
+++ b/tests/fake_store.c
@@ -22,7 +22,7 @@
 	return store;
 }
 
-static void add(dy_store_t *store, uint64_t term, const char *text)
+static void append_text(dy_store_t *store, uint64_t term, const char *text)
 {
 	dy_raft_entry_t entry = { .index = dy_store_last_index(store) + 1,
 				  .term = term,
@@ -41,7 +41,7 @@
 		snprintf(text, sizeof(text), "change %llu of term %llu",
 			 (unsigned long long)dy_store_last_index(store) + 1,
 			 (unsigned long long)term);
-		add(store, term, text);
+		append_text(store, term, text);
 	}
 }
 
--- a/tests/test_raft.c
+++ b/tests/test_raft.c
@@ -8,7 +8,7 @@
 #include "damaskyard/log.h"
 #include "fake_group.h"
 
-START_TEST(group_forms_and_accepts)
+START_TEST(forms_group_and_commits)
 {
 	fake_group_t *group =
 		fake_group_create_formed((uint32_t)_i, _i % 2 ? 5 : 3);
@@ -27,12 +27,12 @@
 END_TEST
 
 /*
- * The leading control is frozen. Another one is elected and accepts a new
- * document. The old one is thawed, believes that it leads and is asked for
- * the document in force: it would show the replaced one. Answers to its
- * older rounds wait in its socket and must not count for the new read.
+ * Stale read: the leader is paused, and another one is elected and accepts a
+ * new document. The old leader resumes, still in the leader role, and is asked
+ * for the document in force. Replies to its older rounds wait in its socket and
+ * must not confirm the new read.
  */
-START_TEST(thawed_leader_confirms_no_read)
+START_TEST(refuses_read_on_stale_leader_after_pause)
 {
 	fake_group_t *group = fake_group_create_formed((uint32_t)_i, 3);
 	fake_member_t *old;
@@ -45,7 +45,7 @@
 	old->frozen = 0;
 	ck_assert_int_eq(dy_raft_role(old->raft), DY_RAFT_LEADER);
 	ck_assert_int_eq(fake_group_read(group, old), DY_RAFT_DONE);
-	/* The flush comes before it reads its socket or looks at the clock. */
+	/* It flushes before it reads its socket or its clock. */
 	dy_raft_flush(old->raft);
 	fake_group_run(group, 500);
 	ck_assert_uint_eq(group->failed_reads, 1);
@@ -56,62 +56,62 @@
 END_TEST
 
 /*
- * One control sits behind a cut for a long time and returns. Each election
- * it tried in vain would have raised its term, and its return would depose a
- * healthy leader: changes under way would end as unknown for nothing.
+ * A control is partitioned for a long time and returns. Without pre-votes each
+ * of its failed elections increments its term, and its return deposes a healthy
+ * leader, so that changes in progress end as unknown.
  */
-START_TEST(returning_member_disturbs_nobody)
+START_TEST(keeps_leader_when_partitioned_member_returns)
 {
 	fake_group_t *group = fake_group_create_formed((uint32_t)_i, 3);
 	fake_member_t *leader = fake_group_leader(group);
-	fake_member_t *away = fake_group_other_member(group, leader);
+	fake_member_t *absent = fake_group_other_member(group, leader);
 	uint64_t term = dy_raft_term(leader->raft);
 
-	away->partition = 1;
+	absent->partition = 1;
 	fake_group_run(group, 20000);
-	away->partition = 0;
+	absent->partition = 0;
 	fake_group_run(group, 3000);
 	ck_assert_ptr_eq(fake_group_leader(group), leader);
 	ck_assert_uint_eq(dy_raft_term(leader->raft), term);
-	ck_assert_uint_eq(dy_raft_term(away->raft), term);
+	ck_assert_uint_eq(dy_raft_term(absent->raft), term);
 	ck_assert_uint_gt(fake_group_counter(group, "raft_pre_votes"), 10);
 	fake_group_destroy(group);
 }
 END_TEST
 
 /*
- * A member whose way from the leader alone is cut asks for votes in earnest
- * (it was a candidate already). The others hear the leader and must ignore
- * it, term and all, or it would depose the leader again and again.
+ * A member that is cut off from the leader only sends a vote request, not a
+ * pre-vote, since it was a candidate already. The others hear the leader and
+ * must ignore the request and its term, or it deposes the leader repeatedly.
  */
-START_TEST(vote_is_ignored_while_a_leader_is_heard)
+START_TEST(ignores_vote_request_while_leader_is_alive)
 {
 	fake_group_t *group = fake_group_create_formed(5, 3);
 	fake_member_t *leader = fake_group_leader(group);
-	fake_member_t *asked = fake_group_other_member(group, leader);
+	fake_member_t *voter = fake_group_other_member(group, leader);
 	uint64_t term = dy_raft_term(leader->raft);
-	dy_raft_message_t ask = { .group = FAKE_GROUP_NUMBER };
-
-	ask.from = dy_raft_id(fake_group_other_member(group, asked)->raft);
-	ask.to = dy_raft_id(asked->raft);
-	ask.term = term + 5;
-	ask.body.kind = DY_RAFT_VOTE;
-	ask.body.dy_raft_body_t_u.vote.last_index = 1000;
-	ask.body.dy_raft_body_t_u.vote.last_term = term;
-	fake_group_inject(group, &ask);
+	dy_raft_message_t request = { .group = FAKE_GROUP_NUMBER };
+
+	request.from = dy_raft_id(fake_group_other_member(group, voter)->raft);
+	request.to = dy_raft_id(voter->raft);
+	request.term = term + 5;
+	request.body.kind = DY_RAFT_VOTE;
+	request.body.dy_raft_body_t_u.vote.last_index = 1000;
+	request.body.dy_raft_body_t_u.vote.last_term = term;
+	fake_group_inject(group, &request);
 	fake_group_run(group, 1000);
-	ck_assert_uint_eq(dy_raft_term(asked->raft), term);
+	ck_assert_uint_eq(dy_raft_term(voter->raft), term);
 	ck_assert_ptr_eq(fake_group_leader(group), leader);
 	fake_group_destroy(group);
 }
 END_TEST
 
 /*
- * The leader alone is cut off while operators submit to it. They must learn
- * at once that the outcome is unknown, not wait; what it wrote to its log
- * alone is replaced when it returns.
+ * The leader is partitioned while operators submit to it. Their proposals must
+ * end at once as unknown instead of waiting. The entries that it alone has are
+ * replaced when it returns.
  */
-START_TEST(cut_off_leader_steps_down)
+START_TEST(partitioned_leader_steps_down)
 {
 	fake_group_t *group = fake_group_create_formed((uint32_t)_i, 3);
 	fake_member_t *old = fake_group_leader(group);
@@ -136,24 +136,24 @@
 END_TEST
 
 /*
- * A control is down while hundreds of changes pass it by. It catches up from
- * the log, or from a snapshot in chunks where the log was cut, also when a
- * third of the datagrams is lost.
+ * A control is down while hundreds of changes are committed. It must catch up
+ * from the log, or from a snapshot in chunks where the log was truncated, also
+ * at 30 % datagram loss.
  */
-START_TEST(catches_up_after_hundreds_of_entries)
+START_TEST(restarted_member_catches_up)
 {
 	fake_group_t *group = fake_group_create_formed((uint32_t)_i, 3);
-	fake_member_t *away =
+	fake_member_t *absent =
 		fake_group_other_member(group, fake_group_leader(group));
 
-	fake_group_crash(away, 1);
+	fake_group_crash(absent, 1);
 	fake_group_commit(group, _i % 2 ? 50 : 700);
 	ck_assert(_i % 2 ||
 		  fake_group_counter(group, "raft_snapshots_written") > 3);
-	fake_group_start(away);
+	fake_group_start(absent);
 	group->loss_percent = 30;
 	fake_group_run(group, 5000);
-	ck_assert_uint_ge(away->applied_index, group->acknowledged_index);
+	ck_assert_uint_ge(absent->applied_index, group->acknowledged_index);
 	ck_assert(_i % 2 ||
 		  fake_group_counter(group, "raft_snapshots_installed") > 0);
 	fake_group_converge(group);
@@ -162,10 +162,11 @@
 END_TEST
 
 /*
- * The leader's disk fails while it takes a change: the change must not be
- * acknowledged by it, the process is told to stop, the others go on.
+ * The leader's disk fails while it writes a change. It must not acknowledge the
+ * change and must report the failure, so that the process stops. The others
+ * continue.
  */
-START_TEST(failing_disk_ends_the_lead)
+START_TEST(leader_steps_down_on_disk_failure)
 {
 	fake_group_t *group = fake_group_create_formed((uint32_t)_i, 3);
 	fake_member_t *leader = fake_group_leader(group);
@@ -194,11 +195,10 @@
 }
 
 /*
- * An operator stops the leading control on purpose. Without a transfer the
- * group would be without a leader for an election timeout, and changes under
- * way would end as unknown.
+ * An operator stops the leader. Without a transfer the group has no leader for
+ * an election timeout, and changes in progress end as unknown.
  */
-START_TEST(transfer_before_a_planned_stop)
+START_TEST(transfers_leadership_before_planned_stop)
 {
 	fake_group_t *group = fake_group_create_formed((uint32_t)_i, 3);
 	fake_member_t *leader = fake_group_leader(group);
@@ -225,11 +225,11 @@
 END_TEST
 
 /*
- * An entry of an older term stands on a majority, yet another member holds a
- * later term and may still be elected and replace it. Were it committed by
- * counting, an operator's accepted change would be overwritten.
+ * An entry of an older term is on a majority, but another member has a later
+ * term and may still be elected and replace it. If the entry was committed by
+ * counting replicas, an operator's accepted change would be overwritten.
  */
-START_TEST(older_term_is_not_committed_by_counting)
+START_TEST(does_not_commit_older_term_by_counting)
 {
 	fake_group_t *group = fake_group_create_formed(9, 3);
 	fake_member_t *leader = fake_group_leader(group);
@@ -279,12 +279,15 @@
 }
 END_TEST
 
-/* From the start of the member that makes a majority, in ms. */
-static uint64_t wait_for_leader(uint32_t seed)
+/*
+ * Time from the start of the member that completes a majority to a leader, in
+ * ms.
+ */
+static uint64_t measure_late_majority_election(uint32_t seed)
 {
 	fake_group_t *group = fake_group_create_formed(seed, 3);
-	uint64_t since_ms;
-	uint64_t took_ms;
+	uint64_t start_ms;
+	uint64_t elapsed_ms;
 	int i;
 
 	for (i = 0; i < 3; i++)
@@ -294,70 +297,75 @@
 	fake_group_run(group, 200);
 	ck_assert_ptr_null(fake_group_leader(group));
 	fake_group_start(&group->members[1]);
-	since_ms = group->now_ms;
-	while (!fake_group_leader(group) && group->now_ms - since_ms < 2000)
+	start_ms = group->now_ms;
+	while (!fake_group_leader(group) && group->now_ms - start_ms < 2000)
 		fake_group_step(group, 1);
-	took_ms = group->now_ms - since_ms;
+	elapsed_ms = group->now_ms - start_ms;
 	fake_group_start(&group->members[2]);
 	fake_group_converge(group);
 	fake_group_destroy(group);
-	return took_ms;
+	return elapsed_ms;
 }
 
 /*
- * Power is back, and controls start one after the other. Until the majority is
- * there the first asks for votes in vain, and then it slept for an election's
- * full time while every balancer waited for a leader.
+ * After a power loss the controls start one after the other. The first one
+ * cannot win an election until a majority is up. If it waits for a full
+ * election timeout after each attempt, every balancer waits for a leader
+ * meanwhile.
  */
-START_TEST(early_starter_asks_again_soon)
+START_TEST(retries_first_election_until_majority_is_up)
 {
 	uint64_t sum_ms = 0;
 	uint32_t seed;
 
 	for (seed = 0; seed < 20; seed++)
-		sum_ms += wait_for_leader(seed);
+		sum_ms += measure_late_majority_election(seed);
 	ck_assert_uint_lt(sum_ms, 20 * 75);
 }
 END_TEST
 
-/* From the start of all five members at one moment to a leader, in ms. */
-static uint64_t wait_after_power_loss(uint32_t seed)
+/* Time from the start of all five members at once to a leader, in ms. */
+static uint64_t measure_power_loss_election(uint32_t seed)
 {
 	fake_group_t *group = fake_group_create_formed(seed, 5);
-	uint64_t since_ms;
-	uint64_t took_ms;
+	uint64_t start_ms;
+	uint64_t elapsed_ms;
 	int i;
 
 	for (i = 0; i < 5; i++)
 		fake_group_crash(&group->members[i], 1);
 	group->first_election_ms = 75;
-	/* What was under way between them is gone by then. */
+	/* By then no datagram is in flight. */
 	fake_group_run(group, 200);
 	for (i = 0; i < 5; i++)
 		fake_group_start(&group->members[i]);
-	since_ms = group->now_ms;
-	while (!fake_group_leader(group) && group->now_ms - since_ms < 5000)
+	start_ms = group->now_ms;
+	while (!fake_group_leader(group) && group->now_ms - start_ms < 5000)
 		fake_group_step(group, 1);
-	took_ms = group->now_ms - since_ms;
+	elapsed_ms = group->now_ms - start_ms;
 	fake_group_converge(group);
 	fake_group_destroy(group);
-	return took_ms;
+	return elapsed_ms;
 }
 
-/* Two call an election at once, split the votes, and everybody waits long. */
-START_TEST(split_first_election_is_called_again_soon)
+/*
+ * Two members start the first election at once and split the votes. If they
+ * retry only after a full election timeout, the group waits that long for a
+ * leader.
+ */
+START_TEST(retries_split_first_election_early)
 {
-	uint64_t took_ms;
+	uint64_t elapsed_ms;
 	uint32_t seed;
 
 	for (seed = 0; seed < 200; seed++) {
-		took_ms = wait_after_power_loss(seed);
-		ck_assert_uint_lt(took_ms, 300);
+		elapsed_ms = measure_power_loss_election(seed);
+		ck_assert_uint_lt(elapsed_ms, 300);
 	}
 }
 END_TEST
 
-START_TEST(large_entries_fit_a_message)
+START_TEST(replicates_entries_of_maximum_size)
 {
 	fake_group_t *group = fake_group_create_formed(2, 3);
 	char *data = g_malloc0(DY_RAFT_ENTRY_BYTES + 1);
@@ -386,12 +394,13 @@
 END_TEST
 
 /*
- * All members ask a leader at once, and on its small part of a core it is busy
- * with them for nearly an election's time. When it looks at its clock again its
- * followers' answers wait in its socket. It takes its own delay for their
- * silence, gives up the lead, and whoever is elected finds the same crowd.
+ * Load pattern: all members send requests to the leader at once, and on its
+ * fraction of a core it is busy with them for nearly an election timeout. When
+ * it reads its clock again, its followers' replies wait in its socket. If it
+ * counts its own delay as their timeout, it steps down, and the next leader
+ * meets the same burst.
  */
-START_TEST(leader_that_was_late_itself_keeps_the_lead)
+START_TEST(leader_keeps_leadership_after_own_delay)
 {
 	fake_group_t *group = fake_group_create_formed((uint32_t)_i, 5);
 	fake_member_t *leader;
@@ -417,39 +426,40 @@
 END_TEST
 
 /*
- * The same for a follower: the leader's heartbeats wait in its socket, and it
- * asks the others for their votes as if there were none.
+ * The same delay at a follower: the leader's heartbeats wait in its socket, and
+ * it must not start a pre-vote as if there were no leader.
  */
-START_TEST(follower_that_was_late_itself_calls_no_election)
+START_TEST(follower_calls_no_election_after_own_delay)
 {
 	fake_group_t *group = fake_group_create_formed((uint32_t)_i, 5);
 	fake_member_t *leader;
-	fake_member_t *late;
-	uint64_t asked;
+	fake_member_t *delayed;
+	uint64_t pre_votes;
 	int i;
 
 	fake_group_commit(group, 3);
 	leader = fake_group_leader(group);
-	late = fake_group_other_member(group, leader);
-	asked = fake_group_counter(group, "raft_pre_votes");
-	late->frozen = 1;
+	delayed = fake_group_other_member(group, leader);
+	pre_votes = fake_group_counter(group, "raft_pre_votes");
+	delayed->frozen = 1;
 	for (i = 0; i < 100; i++)
 		fake_group_step(group, 10);
-	late->frozen = 0;
-	dy_raft_tick(late->raft, group->now_ms);
-	ck_assert_int_eq(dy_raft_role(late->raft), DY_RAFT_FOLLOWER);
+	delayed->frozen = 0;
+	dy_raft_tick(delayed->raft, group->now_ms);
+	ck_assert_int_eq(dy_raft_role(delayed->raft), DY_RAFT_FOLLOWER);
 	fake_group_run(group, 1000);
-	ck_assert_uint_eq(fake_group_counter(group, "raft_pre_votes"), asked);
+	ck_assert_uint_eq(fake_group_counter(group, "raft_pre_votes"),
+			  pre_votes);
 	fake_group_converge(group);
 	fake_group_destroy(group);
 }
 END_TEST
 
 /*
- * A leader's own delay excuses nobody for longer than it lasted: one that is
- * cut off after it steps down as before.
+ * A leader excludes no more than its own delay from the others' timeouts: if it
+ * is partitioned after the delay, it must step down as usual.
  */
-START_TEST(delay_excuses_no_later_silence)
+START_TEST(partitioned_leader_steps_down_after_own_delay)
 {
 	fake_group_t *group = fake_group_create_formed((uint32_t)_i, 3);
 	fake_member_t *leader;
@@ -479,23 +489,27 @@
 	int failures;
 
 	dy_log_configure(DY_LOG_ERROR, NULL);
-	tcase_add_loop_test(tcase, group_forms_and_accepts, 0, 4);
-	tcase_add_loop_test(tcase, thawed_leader_confirms_no_read, 0, 5);
-	tcase_add_loop_test(tcase, returning_member_disturbs_nobody, 0, 5);
-	tcase_add_test(tcase, vote_is_ignored_while_a_leader_is_heard);
-	tcase_add_loop_test(tcase, cut_off_leader_steps_down, 0, 5);
-	tcase_add_loop_test(tcase, catches_up_after_hundreds_of_entries, 0, 4);
-	tcase_add_loop_test(tcase, failing_disk_ends_the_lead, 0, 4);
-	tcase_add_loop_test(tcase, transfer_before_a_planned_stop, 0, 5);
-	tcase_add_test(tcase, older_term_is_not_committed_by_counting);
-	tcase_add_loop_test(tcase, leader_that_was_late_itself_keeps_the_lead,
+	tcase_add_loop_test(tcase, forms_group_and_commits, 0, 4);
+	tcase_add_loop_test(tcase, refuses_read_on_stale_leader_after_pause, 0,
+			    5);
+	tcase_add_loop_test(tcase, keeps_leader_when_partitioned_member_returns,
+			    0, 5);
+	tcase_add_test(tcase, ignores_vote_request_while_leader_is_alive);
+	tcase_add_loop_test(tcase, partitioned_leader_steps_down, 0, 5);
+	tcase_add_loop_test(tcase, restarted_member_catches_up, 0, 4);
+	tcase_add_loop_test(tcase, leader_steps_down_on_disk_failure, 0, 4);
+	tcase_add_loop_test(tcase, transfers_leadership_before_planned_stop, 0,
+			    5);
+	tcase_add_test(tcase, does_not_commit_older_term_by_counting);
+	tcase_add_loop_test(tcase, leader_keeps_leadership_after_own_delay, 0,
+			    5);
+	tcase_add_loop_test(tcase, follower_calls_no_election_after_own_delay,
 			    0, 5);
 	tcase_add_loop_test(
-		tcase, follower_that_was_late_itself_calls_no_election, 0, 5);
-	tcase_add_loop_test(tcase, delay_excuses_no_later_silence, 0, 5);
-	tcase_add_test(tcase, early_starter_asks_again_soon);
-	tcase_add_test(tcase, split_first_election_is_called_again_soon);
-	tcase_add_test(tcase, large_entries_fit_a_message);
+		tcase, partitioned_leader_steps_down_after_own_delay, 0, 5);
+	tcase_add_test(tcase, retries_first_election_until_majority_is_up);
+	tcase_add_test(tcase, retries_split_first_election_early);
+	tcase_add_test(tcase, replicates_entries_of_maximum_size);
 	suite_add_tcase(suite, tcase);
 	runner = srunner_create(suite);
 	srunner_run_all(runner, CK_NORMAL);
--- a/tests/test_raft_member.c
+++ b/tests/test_raft_member.c
@@ -8,33 +8,33 @@
 #include "fake_group.h"
 
 /*
- * A control's disk is lost and it returns empty. A candidate that has not
- * heard of it asks for the vote of the old identity. Were it given, the
- * control could vote twice in a term, and two leaders could accept.
+ * A control loses its disk and returns empty. A candidate without this
+ * information requests the vote of the old identity. If it was granted, the
+ * control could vote twice in a term, and two leaders could accept changes.
  */
-START_TEST(wiped_member_gives_no_old_vote)
+START_TEST(wiped_member_refuses_vote_for_old_identity)
 {
 	fake_group_t *group = fake_group_create_formed(3, 3);
 	fake_member_t *leader = fake_group_leader(group);
 	fake_member_t *wiped = fake_group_other_member(group, leader);
-	dy_raft_message_t ask = { .group = FAKE_GROUP_NUMBER };
+	dy_raft_message_t request = { .group = FAKE_GROUP_NUMBER };
 	uint64_t votes;
 	int i;
 
-	ask.from = dy_raft_id(leader->raft);
-	ask.to = dy_raft_id(wiped->raft);
-	ask.term = dy_raft_term(leader->raft) + 5;
-	ask.config_index = 1000;
-	ask.body.kind = DY_RAFT_VOTE;
-	ask.body.dy_raft_body_t_u.vote.last_index = 1000;
-	ask.body.dy_raft_body_t_u.vote.last_term = ask.term;
+	request.from = dy_raft_id(leader->raft);
+	request.to = dy_raft_id(wiped->raft);
+	request.term = dy_raft_term(leader->raft) + 5;
+	request.config_index = 1000;
+	request.body.kind = DY_RAFT_VOTE;
+	request.body.dy_raft_body_t_u.vote.last_index = 1000;
+	request.body.dy_raft_body_t_u.vote.last_term = request.term;
 	for (i = 0; i < 3; i++)
 		group->members[i].frozen = 1;
 	fake_group_wipe(wiped);
 	fake_group_run(group, 50);
 	fake_group_start(wiped);
 	votes = g_hash_table_size(group->votes);
-	fake_group_inject(group, &ask);
+	fake_group_inject(group, &request);
 	fake_group_run(group, 20);
 	ck_assert_uint_eq(g_hash_table_size(group->votes), votes);
 	ck_assert_uint_gt(fake_group_counter(group, "raft_refused_identity"),
@@ -46,11 +46,11 @@
 END_TEST
 
 /*
- * A lost control is replaced, and at once a second one loses its disk. What
- * the operators were told is accepted must still be there, on one old member
- * and the new one, and the group must go on.
+ * A lost control is replaced, and a second one loses its disk right after that.
+ * All acknowledged changes must still be on the remaining old member and the
+ * new one, and the group must continue.
  */
-START_TEST(second_loss_right_after_replacement)
+START_TEST(keeps_commits_if_second_disk_is_lost_after_replacement)
 {
 	fake_group_t *group = fake_group_create_formed((uint32_t)_i, 3);
 	fake_member_t *first = &group->members[_i % 3];
@@ -71,8 +71,8 @@
 }
 END_TEST
 
-/* A control that was removed asks for votes: it is refused, and counted. */
-START_TEST(removed_member_is_refused)
+/* A removed control requests votes, which are refused and counted. */
+START_TEST(removed_member_is_refused_and_counted)
 {
 	fake_group_t *group = fake_group_create_formed(4, 3);
 	fake_member_t *leader = fake_group_leader(group);
@@ -97,7 +97,7 @@
 }
 END_TEST
 
-START_TEST(one_voter_a_slot)
+START_TEST(refuses_second_voter_in_slot)
 {
 	fake_group_t *group = fake_group_create_formed(4, 3);
 	fake_member_t *leader = fake_group_leader(group);
@@ -118,11 +118,11 @@
 END_TEST
 
 /*
- * An operator promotes a control that is not reachable yet. It would count
- * for the majority at once, and the next loss would stop the group until it
- * had the whole state.
+ * An operator promotes a control that is not reachable yet. It would count for
+ * the majority at once, and the next loss would stop the group until it had the
+ * whole state.
  */
-START_TEST(learner_far_behind_is_not_promoted)
+START_TEST(refuses_to_promote_lagging_learner)
 {
 	fake_group_t *group = fake_group_create_formed(6, 3);
 	fake_member_t *leader = fake_group_leader(group);
@@ -159,11 +159,13 @@
 	int failures;
 
 	dy_log_configure(DY_LOG_ERROR, NULL);
-	tcase_add_test(tcase, wiped_member_gives_no_old_vote);
-	tcase_add_loop_test(tcase, second_loss_right_after_replacement, 0, 6);
-	tcase_add_test(tcase, removed_member_is_refused);
-	tcase_add_test(tcase, one_voter_a_slot);
-	tcase_add_test(tcase, learner_far_behind_is_not_promoted);
+	tcase_add_test(tcase, wiped_member_refuses_vote_for_old_identity);
+	tcase_add_loop_test(
+		tcase, keeps_commits_if_second_disk_is_lost_after_replacement,
+		0, 6);
+	tcase_add_test(tcase, removed_member_is_refused_and_counted);
+	tcase_add_test(tcase, refuses_second_voter_in_slot);
+	tcase_add_test(tcase, refuses_to_promote_lagging_learner);
 	suite_add_tcase(suite, tcase);
 	runner = srunner_create(suite);
 	srunner_run_all(runner, CK_NORMAL);
--- a/tests/test_raft_random.c
+++ b/tests/test_raft_random.c
@@ -15,7 +15,7 @@
 	group->transfers++;
 }
 
-static void fault_disk(fake_group_t *group, fake_member_t *member)
+static void inject_disk_fault(fake_group_t *group, fake_member_t *member)
 {
 	uint32_t after = g_rand_int_range(group->rand, 0, 40);
 
@@ -33,7 +33,7 @@
 	}
 }
 
-/* Whether losing a disk now leaves a majority that holds all. */
+/* Whether a majority with all entries remains if a disk is lost now. */
 static int may_wipe(fake_group_t *group)
 {
 	uint32_t i;
@@ -45,7 +45,7 @@
 	return fake_group_reconcile(group);
 }
 
-static void random_fault(fake_group_t *group)
+static void inject_random_fault(fake_group_t *group)
 {
 	fake_member_t *member = &group->members[g_rand_int_range(
 		group->rand, 0, (gint32)group->size)];
@@ -61,7 +61,7 @@
 		member->partition = !member->partition;
 		break;
 	case 3:
-		fault_disk(group, member);
+		inject_disk_fault(group, member);
 		break;
 	case 4:
 		if (may_wipe(group)) {
@@ -88,7 +88,7 @@
 	}
 }
 
-static void repair(fake_group_t *group)
+static void restart_failed_members(fake_group_t *group)
 {
 	fake_member_t *member;
 	uint32_t i;
@@ -103,10 +103,10 @@
 }
 
 /*
- * All faults mixed, by seed; the oracle of the fake group watches every
- * message and callback.
+ * All faults in random order, by seed. The simulated group checks its
+ * invariants at every message and callback.
  */
-START_TEST(random_run_keeps_every_promise)
+START_TEST(keeps_raft_invariants_under_random_faults)
 {
 	fake_group_t *group =
 		fake_group_create_formed((uint32_t)_i, _i % 4 ? 3 : 5);
@@ -115,14 +115,14 @@
 
 	for (turn = 0; turn < 3000; turn++) {
 		fake_group_step(group, g_rand_int_range(group->rand, 1, 15));
-		repair(group);
+		restart_failed_members(group);
 		member = &group->members[turn % group->size];
 		if (member->raft && !member->frozen) {
 			(void)fake_group_propose(group, member);
 			(void)fake_group_read(group, member);
 		}
 		if (!g_rand_int_range(group->rand, 0, 40))
-			random_fault(group);
+			inject_random_fault(group);
 		if (!(turn % 7))
 			(void)fake_group_reconcile(group);
 	}
@@ -141,7 +141,8 @@
 	int failures;
 
 	dy_log_configure(DY_LOG_ERROR, NULL);
-	tcase_add_loop_test(tcase, random_run_keeps_every_promise, 0, 200);
+	tcase_add_loop_test(tcase, keeps_raft_invariants_under_random_faults, 0,
+			    200);
 	suite_add_tcase(suite, tcase);
 	runner = srunner_create(suite);
 	srunner_run_all(runner, CK_NORMAL);
--- a/tests/test_store.c
+++ b/tests/test_store.c
@@ -11,7 +11,7 @@
 #include "damaskyard/log.h"
 #include "fake_store.h"
 
-START_TEST(log_vote_and_identity_come_back)
+START_TEST(restores_log_vote_and_identity)
 {
 	fake_disk_t *disk = fake_disk_create(1);
 	dy_store_t *store = fake_store_open(disk);
@@ -37,12 +37,12 @@
 END_TEST
 
 /*
- * The disk is full, or its sync fails, while an operator submits a document.
- * Were it acknowledged, it would be gone after the next restart. Every later
- * change is refused too, even once the disk has room again: after a failed
- * sync nobody knows what reached it.
+ * The disk is full, or its sync fails, while an operator submits a document. If
+ * it was acknowledged, it would be lost at the next restart. Every later change
+ * must be refused too, even when the disk has space again: after a failed sync
+ * it is unknown what reached the disk.
  */
-START_TEST(failing_disk_never_acknowledges)
+START_TEST(refuses_writes_after_disk_failure)
 {
 	fake_disk_t *disk = fake_disk_create(8);
 	dy_store_t *store = fake_store_open(disk);
@@ -73,11 +73,11 @@
 END_TEST
 
 /*
- * A control's disk is lost and replaced by an empty one. Under its old name
- * it would vote a second time in a term whose vote it forgot, and two
- * leaders could accept different documents. It must come back as another.
+ * A control's disk is lost and replaced by an empty one. With its old identity
+ * it would vote a second time in a term whose vote it lost, and two leaders
+ * could accept different documents. It must get a new identity.
  */
-START_TEST(wiped_disk_brings_a_new_identity)
+START_TEST(wiped_disk_gets_new_identity)
 {
 	fake_disk_t *disk = fake_disk_create(10);
 	dy_store_t *store = fake_store_open(disk);
@@ -92,7 +92,7 @@
 }
 END_TEST
 
-START_TEST(folder_of_another_slot_is_refused)
+START_TEST(refuses_folder_of_another_slot)
 {
 	fake_disk_t *disk = fake_disk_create(10);
 	dy_store_options_t options = { FAKE_STORE_GROUP, 3, 5, 0 };
@@ -107,7 +107,7 @@
 }
 END_TEST
 
-START_TEST(snapshot_cuts_the_log)
+START_TEST(snapshot_truncates_log)
 {
 	fake_disk_t *disk = fake_disk_create(11);
 	dy_store_t *store = fake_store_open(disk);
@@ -129,7 +129,7 @@
 			 40001 - 32768);
 	ck_assert_int_eq(piece[0], 150 & 0x7f);
 	ck_assert_int_eq(fake_disk_size(disk, "log-00000000000000000001"), -1);
-	/* One that the log does not agree with replaces it whole. */
+	/* A snapshot that conflicts with the log replaces all of it. */
 	ck_assert_int_eq(fake_store_write_snapshot(store, 180, 5, 10), 0);
 	ck_assert_uint_eq(dy_store_first_index(store), 181);
 	ck_assert_uint_eq(dy_store_last_index(store), 180);
@@ -139,8 +139,8 @@
 }
 END_TEST
 
-/* A full disk costs the snapshot alone: the log still acknowledges. */
-START_TEST(snapshot_without_room_is_given_up)
+/* A full disk fails the snapshot only: the log must still accept entries. */
+START_TEST(full_disk_aborts_snapshot_only)
 {
 	fake_disk_t *disk = fake_disk_create(12);
 	dy_store_t *store = fake_store_open(disk);
@@ -177,7 +177,7 @@
 	ck_assert_int_eq(rmdir(folder), 0);
 }
 
-START_TEST(posix_disk_keeps_and_locks)
+START_TEST(posix_disk_persists_and_locks)
 {
 	dy_store_options_t options = { FAKE_STORE_GROUP, 1, 42, 4096 };
 	char folder[] = "/tmp/dy-test-store-XXXXXX";
@@ -210,13 +210,13 @@
 	int failures;
 
 	dy_log_configure(DY_LOG_ERROR, NULL);
-	tcase_add_test(tcase, log_vote_and_identity_come_back);
-	tcase_add_loop_test(tcase, failing_disk_never_acknowledges, 0, 3);
-	tcase_add_test(tcase, wiped_disk_brings_a_new_identity);
-	tcase_add_test(tcase, folder_of_another_slot_is_refused);
-	tcase_add_test(tcase, snapshot_cuts_the_log);
-	tcase_add_test(tcase, snapshot_without_room_is_given_up);
-	tcase_add_test(tcase, posix_disk_keeps_and_locks);
+	tcase_add_test(tcase, restores_log_vote_and_identity);
+	tcase_add_loop_test(tcase, refuses_writes_after_disk_failure, 0, 3);
+	tcase_add_test(tcase, wiped_disk_gets_new_identity);
+	tcase_add_test(tcase, refuses_folder_of_another_slot);
+	tcase_add_test(tcase, snapshot_truncates_log);
+	tcase_add_test(tcase, full_disk_aborts_snapshot_only);
+	tcase_add_test(tcase, posix_disk_persists_and_locks);
 	suite_add_tcase(suite, tcase);
 	runner = srunner_create(suite);
 	srunner_run_all(runner, CK_NORMAL);
--- a/tests/test_store_recover.c
+++ b/tests/test_store_recover.c
@@ -8,7 +8,7 @@
 #include "damaskyard/log.h"
 #include "fake_store.h"
 
-/* Opening must fail, with a message that names file and reason. */
+/* Check that the open fails with a message that names file and reason. */
 static void expect_refusal(fake_disk_t *disk, const char *file,
 			   const char *reason)
 {
@@ -25,11 +25,11 @@
 }
 
 /*
- * Power fails while a batch is on its way to the disk. An operator restarts
- * the control: it must come up with all that it acknowledged and without
- * the half-written batch, whichever of its sectors arrived.
+ * The power fails while a batch is written. At restart the control must have
+ * all that it acknowledged and nothing of the torn batch, whichever of its
+ * sectors reached the disk.
  */
-START_TEST(torn_tail_is_cut)
+START_TEST(truncates_torn_tail)
 {
 	fake_disk_t *disk = fake_disk_create((uint32_t)_i);
 	dy_store_t *store = fake_store_open(disk);
@@ -56,8 +56,12 @@
 }
 END_TEST
 
-/* Cut some entries. Returns what is acknowledged, whether it worked or not. */
-static uint64_t cut_log(dy_store_t *store, GRand *rand, uint64_t acknowledged)
+/*
+ * Truncate some entries. Returns the last acknowledged index, whether the
+ * truncation succeeded or not.
+ */
+static uint64_t truncate_log(dy_store_t *store, GRand *rand,
+			     uint64_t acknowledged)
 {
 	uint64_t last = dy_store_last_index(store);
 	uint64_t count = last + 1 - dy_store_first_index(store);
@@ -71,11 +75,11 @@
 }
 
 /*
- * As above, but the machine stops between write and sync, at any of the
- * disk's operations, and twice in a row. Nothing acknowledged may be gone,
- * and no start may be refused: a crash is no damage.
+ * As above, but the VM stops at any disk operation, also between write and
+ * sync, and repeatedly. No acknowledged entry may be lost, and no open may
+ * fail, since a crash is no damage.
  */
-START_TEST(crash_at_any_operation_loses_nothing_acknowledged)
+START_TEST(keeps_acknowledged_entries_after_crash_at_any_operation)
 {
 	fake_disk_t *disk = fake_disk_create((uint32_t)_i + 100);
 	GRand *rand = g_rand_new_with_seed((uint32_t)_i);
@@ -99,7 +103,7 @@
 				continue;
 			if (g_rand_boolean(rand)) {
 				acknowledged =
-					cut_log(store, rand, acknowledged);
+					truncate_log(store, rand, acknowledged);
 				term++;
 			} else {
 				(void)fake_store_write_snapshot(
@@ -122,11 +126,12 @@
 END_TEST
 
 /*
- * A bit decays in a change that was acknowledged weeks ago, or in the last
- * one. Were it cut as a torn tail, this control would vote without it and an
- * accepted document could be lost. It must stop and name the place.
+ * A bit flips on disk in a change that was acknowledged long ago, or in the
+ * last one. If it was truncated as a torn tail, this control would vote without
+ * it, and an accepted document could be lost. The open must fail and name the
+ * place.
  */
-START_TEST(decayed_record_stops)
+START_TEST(refuses_corrupt_synced_record)
 {
 	fake_disk_t *disk = fake_disk_create(5);
 	dy_store_t *store = fake_store_open(disk);
@@ -148,7 +153,7 @@
 }
 END_TEST
 
-START_TEST(damaged_files_stop)
+START_TEST(refuses_damaged_or_missing_file)
 {
 	static const char *const names[] = { "identity", "vote", "snapshot" };
 	const char *name = names[_i % 3];
@@ -172,7 +177,7 @@
 }
 END_TEST
 
-START_TEST(lost_segment_stops)
+START_TEST(refuses_missing_segment)
 {
 	fake_disk_t *disk = fake_disk_create(6);
 	dy_store_t *store = fake_store_open(disk);
@@ -189,11 +194,11 @@
 END_TEST
 
 /*
- * A sync fails, the process is restarted and reads its log back from the
- * kernel's cache, complete; it acknowledges the entry, or the vote, that it
- * finds there. Then power fails, and what never was on the disk is gone.
+ * A sync fails, and the restarted process reads the complete log from the
+ * kernel's page cache. If it acknowledges the entry, or the vote, that it finds
+ * there, a power loss removes what never reached the disk.
  */
-START_TEST(cached_bytes_of_failed_sync_are_written_anew)
+START_TEST(rewrites_cached_data_after_failed_sync)
 {
 	fake_disk_t *disk = fake_disk_create((uint32_t)_i);
 	dy_store_t *store = fake_store_open(disk);
@@ -227,11 +232,11 @@
 END_TEST
 
 /*
- * A leader's snapshot replaces entries that were never committed, and the
- * machine stops before they are removed. Read back beside the snapshot they
- * would look committed by it, and this control could be elected with them.
+ * A leader's snapshot replaces entries that were never committed, and the VM
+ * stops before they are removed. If they were read beside the snapshot, they
+ * would look committed, and this control could be elected with them.
  */
-START_TEST(crash_while_a_snapshot_replaces_the_log)
+START_TEST(recovers_from_crash_during_snapshot_install)
 {
 	fake_disk_t *disk = fake_disk_create((uint32_t)_i);
 	dy_store_t *store = fake_store_open(disk);
@@ -264,17 +269,17 @@
 	int failures;
 
 	dy_log_configure(DY_LOG_ERROR, NULL);
-	tcase_add_loop_test(tcase, torn_tail_is_cut, 0, 50);
-	tcase_add_loop_test(tcase,
-			    crash_at_any_operation_loses_nothing_acknowledged,
+	tcase_add_loop_test(tcase, truncates_torn_tail, 0, 50);
+	tcase_add_loop_test(
+		tcase, keeps_acknowledged_entries_after_crash_at_any_operation,
+		0, 40);
+	tcase_add_loop_test(tcase, refuses_corrupt_synced_record, 0, 2);
+	tcase_add_loop_test(tcase, refuses_damaged_or_missing_file, 0, 6);
+	tcase_add_test(tcase, refuses_missing_segment);
+	tcase_add_loop_test(tcase, rewrites_cached_data_after_failed_sync, 0,
+			    20);
+	tcase_add_loop_test(tcase, recovers_from_crash_during_snapshot_install,
 			    0, 40);
-	tcase_add_loop_test(tcase, decayed_record_stops, 0, 2);
-	tcase_add_loop_test(tcase, damaged_files_stop, 0, 6);
-	tcase_add_test(tcase, lost_segment_stops);
-	tcase_add_loop_test(tcase, cached_bytes_of_failed_sync_are_written_anew,
-			    0, 20);
-	tcase_add_loop_test(tcase, crash_while_a_snapshot_replaces_the_log, 0,
-			    40);
 	suite_add_tcase(suite, tcase);
 	runner = srunner_create(suite);
 	srunner_run_all(runner, CK_NORMAL);
