--- a/include/damaskyard/cold_limit.h
+++ b/include/damaskyard/cold_limit.h
@@ -2,16 +2,18 @@
 #define DAMASKYARD_COLD_LIMIT_H
 
 /*
- * How many openings a cold target is given in any second. No network.
+ * Rate limit for the openings (SYN packets of new flows) that a cold target
+ * receives. A target is cold for some time after its start, while it fills its
+ * caches. This module does no I/O.
  *
  * Load pattern: a whole failure domain comes back at once and its targets are
- * cold, or all callers open flows anew; several balancers choose the same cold
- * target, and each knows only what it opened itself.
- * What happens without it: a target that bears some openings a second while it
- * fills its caches gets all of them, and is slow for longer.
- * What is done: the agent beside the target, which sees the openings of all
- * balancers, counts them in a window that slides. What does not fit goes to
- * the balancer's next choice.
+ * cold, or all callers open new flows. Several balancers choose the same cold
+ * target, and each balancer sees only the flows that it opened itself.
+ * Without it: a target that can handle a few openings per second while it fills
+ * its caches receives all of them and stays slow for longer.
+ * Mechanism: the agent beside the target sees the openings of all balancers and
+ * counts them in a sliding window. An opening above the limit goes to the
+ * balancer's next candidate.
  */
 
 #include <stdint.h>
@@ -19,33 +21,39 @@
 #include <glib.h>
 
 /*
- * The window, in ms. Longer than the second that is promised, since openings
- * reach the target later than they are counted, some more than others.
+ * Length of the sliding window. It is longer than the one second that the limit
+ * is specified for, because openings reach the target with a varying delay
+ * after they are counted.
  */
 #define DY_COLD_WINDOW_MS 1050
 
-/* Openings that are counted in one window at most; more are not let in. */
+/* Capacity of the window in openings, and so the largest limit. */
 #define DY_COLD_OPENINGS_MAX 4096
 
 typedef struct dy_cold_limit {
-	GArray *times;		 /* of the last openings, a ring */
-	unsigned next;		 /* the oldest's place once the ring is full */
-	unsigned max_per_window; /* openings in a window; 0: any */
+	GArray *times; /* times of the latest openings, a ring buffer */
+	unsigned next; /* index of the oldest entry once the ring is full */
+	unsigned max_per_window; /* openings per window; 0: unlimited */
 } dy_cold_limit_t;
 
+/*
+ * Initializes limit as unlimited. Free its memory with dy_cold_limit_clear().
+ */
 void dy_cold_limit_init(dy_cold_limit_t *limit);
+/* Frees the memory of limit, but not limit itself. */
 void dy_cold_limit_clear(dy_cold_limit_t *limit);
 
 /*
- * Allow so many openings in any window from now on, all counted that were
- * noted; 0: any number. DY_COLD_OPENINGS_MAX at most.
+ * Sets the maximum number of openings per window; 0 removes the limit. Values
+ * above DY_COLD_OPENINGS_MAX are reduced to it. Openings that were recorded
+ * before count under the new limit.
  */
-void dy_cold_limit_set(dy_cold_limit_t *limit, unsigned most);
+void dy_cold_limit_set(dy_cold_limit_t *limit, unsigned max_openings);
 
-/* Whether one more opening fits now. */
+/* Returns whether one more opening is within the limit at now_ms. */
 int dy_cold_limit_allows(const dy_cold_limit_t *limit, uint64_t now_ms);
 
-/* Count an opening; the clock must not go back. */
+/* Records an opening. now_ms must not decrease from call to call. */
 void dy_cold_limit_record(dy_cold_limit_t *limit, uint64_t now_ms);
 
 #endif
--- a/include/damaskyard/flow_holder.h
+++ b/include/damaskyard/flow_holder.h
@@ -2,32 +2,36 @@
 #define DAMASKYARD_FLOW_HOLDER_H
 
 /*
- * An agent's decisions about packet flows of the target beside it. No
- * network: notices and packets of the target and forwards of balancers go in;
- * packets to the target, to callers and messages come out.
+ * The agent's handling of the packet flows that the target beside it holds.
+ * This module does no I/O: it consumes the target's notices (heartbeats), the
+ * target's packets and the balancers' forwards, and emits packets and messages
+ * through callbacks.
  *
- * The target is the truth of which flows it holds: it gives back what it does
- * not. The agent's own record only saves asking. An agent that was started
- * after its target asks for each flow that it does not know; one that was
- * there from the target's start knows that such a flow is not there.
+ * The target is authoritative for the flows that it holds: it bounces (returns)
+ * each packet of a flow that it does not hold. The agent's flow table only
+ * saves this round trip. An agent that started after its target sends packets
+ * of unknown flows to the target to find out. An agent that saw the target
+ * start has a record of every flow of the target and needs no such check.
  *
- * Whom to take in. An opening packet is taken only for the service that the
- * target announced, while it is ready. Draining is acknowledged to the target
- * and begins here in one step, so no opening packet follows it, whatever
- * balancers believe. What cannot be taken goes to the next of the balancer's
- * choices; at the last it waits for room (opening_queue.h).
+ * An opening is a SYN packet, which opens a flow. The agent admits an opening
+ * only for the service that the target announced, and only while the target is
+ * ready. It acknowledges a draining notice and stops admitting openings in the
+ * same step, so that no opening follows the acknowledgement, even from a
+ * balancer that has not learned of the drain. An opening that is not admitted
+ * goes to the next candidate of the balancer's list. At the last candidate it
+ * waits in a queue (opening_queue.h).
  *
- * Whether the target is there at all.
- *	Load pattern: a target crashes with thousands of open flows; a VM comes
- *	back without its target, as after a loss of power.
- *	What happens without it: the target's flows get no answer until their
- *	callers' deadlines, and new ones none until its notices are missed;
- *	balancers search an agent for flows that it cannot have, and where its
- *	VM goes again, their searches end there.
- *	What is done: a target that owes an answer is asked for by a check of
- *	its port. A port that was open, and that nobody listens at twice in a
- *	row, with nothing from the target in between, says that it is gone
- *	with all its flows.
+ * The agent also detects that the target is gone:
+ * Load pattern: a target crashes with thousands of open flows, or a VM comes
+ * back without its target after a power loss.
+ * Without it: packets of the target's flows get no reply until their callers'
+ * deadlines, and new flows get none until the notice timeout. Balancers search
+ * an agent for flows that it cannot have, and if its VM is lost again, their
+ * searches end there.
+ * Mechanism: when the target does not respond to a packet in time, the agent
+ * checks the target's port. If the port was open before, and two successive
+ * checks are refused with nothing received from the target in between, the
+ * target is gone with all its flows.
  */
 
 #include <stdint.h>
@@ -38,94 +42,110 @@
 #include "damaskyard/target_notice.h"
 
 /*
- * A target that sent no notice for so long is taken for gone, in ms: it takes
- * no new flow. Notices come each 1.2 s; three may be lost on a bad link.
+ * Timeout for notices: a target without a notice for this time receives no new
+ * flows. Targets send a notice every 1.2 s, so three may be lost on a bad link.
  */
 #define DY_NOTICE_TIMEOUT_MS 4000
 
 /*
- * A target that owed an answer to a packet for so long is checked, in ms. It
- * answers openings within one, and half of the requests within 60; a slow one
- * is checked in vain, which costs it one connection.
+ * Timeout for the target's response to a packet; the agent checks the target's
+ * port after it. A target responds to openings within 1 ms and to half of the
+ * requests within 60 ms. Checking a target that is only slow costs the target
+ * one connection.
  */
 #define DY_TARGET_RESPONSE_TIMEOUT_MS 150
 
-/* A flow without packets for so long is forgotten, in ms; see above. */
+/* Idle timeout of an open flow's record in the flow table. */
 #define DY_HELD_IDLE_MS 60000
 
-/* A flow that its caller did not finish opening is forgotten, in ms. */
+/* Timeout for the caller to complete the handshake of a flow. */
 #define DY_HALF_OPEN_MS 5000
 
-/* A flow that has ended is remembered for copies of its last packets, in ms. */
+/* How long an ended flow is kept for retransmissions of its last packets. */
 #define DY_TIME_WAIT_MS 5000
 
 /*
- * Forwards whose packets the target may still give back. It does so in well
- * under a second; at 1,000 packets a second these are two.
+ * Capacity of the ring of forwards whose packets the target may still bounce. A
+ * target bounces in well under one second; at 1,000 packets per second the ring
+ * covers two seconds.
  */
 #define DY_PENDING_FORWARDS_MAX 2048
 
 /*
- * Requests, begun or about to be, for each hundred slots, beyond which an
- * opening that has just come is passed on to a balancer's next choice, and at
- * the last waits. Half a request waits behind each that runs, so that a new
- * one is answered within twice its own time, and no slot is idle while the next
- * one's packets travel.
+ * Limit for a new opening, in requests per 100 slots, where requests that are
+ * expected soon count as well. Above it, the agent passes the opening on to the
+ * balancer's next candidate, and the last candidate queues it. At 150 percent,
+ * half a request waits behind each running one: a new request is answered
+ * within twice its own service time, and no slot idles while the packets of the
+ * next request travel.
  */
 #define DY_OVERLOAD_PERCENT 150
 
 /*
- * What an opening that has waited may find beside a request for each slot: one
- * request more, whose packets travel while the others run. Room above it is
- * left to those who come.
+ * Requests above one per slot at which queued openings and retransmitted ones
+ * are still admitted. The packets of this one request travel while the others
+ * run. The capacity above it is reserved for new openings.
  */
 #define DY_QUEUED_EXTRA_REQUESTS 1
 
 /*
- * A request without an answer for so long counts no more, in ms: its caller
- * has most likely given up, or the target has.
+ * Timeout for the answer to a request. After it the request does not count as
+ * load: its caller or the target has most likely given up.
  */
 #define DY_REQUEST_TIMEOUT_MS 4000
 
 /*
- * A flow that was opened so long ago, in ms, and had no request, is not about
- * to have its first: callers send it a round trip later, some 10 ms, or have
- * given the opening up.
+ * How long a newly opened flow counts as about to send its first request.
+ * Callers send it one round trip after the opening, some 10 ms, unless they
+ * have abandoned the opening.
  */
 #define DY_FIRST_REQUEST_TIMEOUT_MS 100
 
-/* Balancers that are told of the load; ones not heard for 2 s are not. */
+/*
+ * Maximum number of balancers that receive load reports, and how long a
+ * balancer receives them after its last message.
+ */
 #define DY_REPORT_BALANCERS_MAX 256
 #define DY_REPORT_TTL_MS 2000
 
 typedef struct dy_flow_holder dy_flow_holder_t;
 
 typedef struct dy_flow_holder_callbacks {
-	/* Send a packet's bytes to the target, marked with note. */
+	/* Sends a packet to the target with the given tag in its header. */
 	void (*to_target)(void *context, uint8_t *bytes, size_t len,
-			  uint32_t note);
-	/* Send a packet of the target to the flow's caller. */
+			  uint32_t tag);
+	/* Sends a packet of the target to the flow's caller. */
 	void (*to_caller)(void *context, const dy_flow_id_t *flow,
 			  const uint8_t *bytes, size_t len);
-	/* Pass a forward on to the agent at forward->tries[forward->step]. */
+	/* Sends forward to the agent at forward->tries[forward->step]. */
 	void (*pass_on)(void *context, dy_flow_forward_t *forward);
+	/* Tells a balancer that this agent holds a flow. */
 	void (*held)(void *context, const dy_address_t *balancer,
 		     dy_flow_held_t *held);
+	/* Tells a balancer that no agent in forward->tries took a packet. */
 	void (*nowhere)(void *context, const dy_address_t *balancer,
 			dy_flow_nowhere_t *nowhere);
+	/* Sends a load report to a balancer. */
 	void (*report)(void *context, const dy_address_t *balancer,
 		       dy_flow_report_t *report);
-	/* The target's service, slots or state changed. */
+	/* Called when the target's service, slots or state has changed. */
 	void (*changed)(void *context);
-	/* Check the target's port; see dy_flow_holder_port_checked(). */
+	/*
+	 * Starts a check of the target's port; the result goes to
+	 * dy_flow_holder_port_checked().
+	 */
 	void (*check_port)(void *context);
 } dy_flow_holder_callbacks_t;
 
 typedef struct dy_flow_holder_config {
-	dy_address_t self;   /* as in the lists of balancers */
-	const char *service; /* the only one that the target may announce */
+	dy_address_t self;   /* this agent, as in the balancers' lists */
+	const char *service; /* the only service that the target may announce */
 	dy_address_t target;
-	/* Of what a cold target bears in a second: times this, and so many. */
+	/*
+	 * A cold target receives up to rate * cold_overshoot + cold_slack
+	 * openings per second, where rate is what the service's configuration
+	 * allows.
+	 */
 	double cold_overshoot;
 	double cold_slack;
 	dy_metrics_t *metrics;
@@ -133,105 +153,142 @@
 	void *context;
 } dy_flow_holder_config_t;
 
-/* config is copied; what it points to must outlive the holder. */
+/*
+ * Creates a holder. config is copied; what it points to must outlive the
+ * holder.
+ */
 dy_flow_holder_t *dy_flow_holder_create(const dy_flow_holder_config_t *config);
+/* Frees holder; NULL is allowed. */
 void dy_flow_holder_destroy(dy_flow_holder_t *holder);
 
 /*
- * Take a notice. Returns 1 if it is to be acknowledged: it is of the target
- * beside this agent, also if it comes late or again; 0 if it names another
- * service or address, and is to be refused.
+ * Processes a notice of the target. Returns 1 if the caller has to acknowledge
+ * it: the notice is from the target beside this agent, even if it is late or a
+ * duplicate. Returns 0 if it names another service or address and has to be
+ * refused.
  */
 int dy_flow_holder_receive_notice(dy_flow_holder_t *holder,
 				  const dy_target_notice_t *notice,
 				  uint64_t now_ms);
 
-/* The target with that id has ended. */
+/* Records that the target with this id has ended. Other ids are ignored. */
 void dy_flow_holder_target_left(dy_flow_holder_t *holder, const char *id);
 
 /*
- * Take the result of a check of the target's port that was begun after this
- * agent's start.
+ * Processes the result of a check of the target's port. The check must have
+ * started after this agent did.
  */
 void dy_flow_holder_port_checked(dy_flow_holder_t *holder,
 				 dy_port_state_t state, uint64_t now_ms);
 
-/* Take no opening packet any more: the agent itself is stopping. */
+/* Stops admitting openings because the agent itself is stopping. */
 void dy_flow_holder_stop(dy_flow_holder_t *holder);
 
 /*
- * Say whether the agent's failure domain is evacuated: then no opening packet
- * is taken either, and those that wait go elsewhere. Open flows stay.
+ * Sets whether the agent's failure domain is evacuated. While it is, the agent
+ * admits no openings and passes queued ones on. Open flows are not affected.
  */
 void dy_flow_holder_set_evacuated(dy_flow_holder_t *holder, int evacuated,
 				  uint64_t now_ms);
 
-/* Take a forward; packet is its packet, decoded. */
+/*
+ * Processes a forward of a balancer or another agent. packet is the decoded
+ * forward->packet. forward->step and forward->certain may be changed.
+ */
 void dy_flow_holder_receive_forward(dy_flow_holder_t *holder,
 				    dy_flow_forward_t *forward,
 				    const dy_packet_t *packet, uint64_t now_ms);
 
-/* Take a balancer's wish to be told of the load, for DY_REPORT_TTL_MS. */
+/*
+ * Subscribes the balancer at address to load reports for DY_REPORT_TTL_MS. The
+ * balancer's forwards do so as well.
+ */
 void dy_flow_holder_subscribe(dy_flow_holder_t *holder,
 			      const dy_address_t *address, uint64_t now_ms);
 
-/* Take a packet that the target sent, or gave back. */
+/*
+ * Processes a packet that the target sent or bounced. bytes is the encoded
+ * packet; it need not outlive the call.
+ */
 void dy_flow_holder_receive_packet(dy_flow_holder_t *holder,
 				   const dy_packet_t *packet, uint8_t *bytes,
 				   size_t len, uint64_t now_ms);
 
-/* Report the load and forget what is over. Call it each 200 ms. */
+/*
+ * Sends load reports and expires flows, requests and queued openings. Call it
+ * every 200 ms.
+ */
 void dy_flow_holder_tick(dy_flow_holder_t *holder, uint64_t now_ms);
 
-/* Whether the target is ready and this agent goes on; control is told this. */
+/*
+ * Returns whether the target is ready and this agent is not stopping. This is
+ * the state that the agent reports to control.
+ */
 int dy_flow_holder_is_serving(const dy_flow_holder_t *holder);
-/* Whether opening packets are taken, and the announced slots. */
+/* Returns whether openings are admitted. */
 int dy_flow_holder_accepts(const dy_flow_holder_t *holder);
+/*
+ * Returns the number of slots that the target announced; 0 before its first
+ * notice.
+ */
 uint32_t dy_flow_holder_slots(const dy_flow_holder_t *holder);
-/* Whether no target is there: it left, fell silent, or was never heard. */
+/* Returns whether the target left, its notices timed out, or none ever came. */
 int dy_flow_holder_is_target_inactive(const dy_flow_holder_t *holder,
 				      uint64_t now_ms);
-/* Whether it is certain that no target is there, so no flow either. */
+/*
+ * Returns whether the target is certainly gone, so that it holds no flow
+ * either.
+ */
 int dy_flow_holder_is_target_gone(const dy_flow_holder_t *holder);
 /*
- * Whether a start of the target, by its id and time, is over: another one has
- * taken its place, or nobody is there.
+ * State of one instance of the target. An instance is one run of the target's
+ * process, identified by the target's id and start time.
  */
 typedef enum dy_target_instance_state {
-	DY_TARGET_INSTANCE_UNKNOWN, /* no target was heard of yet */
+	DY_TARGET_INSTANCE_UNKNOWN, /* no notice has come yet */
 	DY_TARGET_INSTANCE_CURRENT,
+	/* another instance replaced it, or the target is gone */
 	DY_TARGET_INSTANCE_ENDED
 } dy_target_instance_state_t;
 
+/* Returns the state of the instance with this id and start time. */
 dy_target_instance_state_t dy_flow_holder_instance_state(
 	const dy_flow_holder_t *holder, const char *id, uint64_t born_ms);
 
-/* What the target said last, or NULL if none is known to be there. */
+/*
+ * Returns the target's last notice, or NULL if no target is known to be there.
+ * The notice belongs to holder and is valid until the next call that changes
+ * it.
+ */
 const dy_target_notice_t *dy_flow_holder_target(const dy_flow_holder_t *holder);
 
 /*
- * A steady flow is one whose caller acknowledges little: it is open for so
- * long, in ms, and has had so many bytes, and so many more for each second. A
- * reset that is made from a list has to name a byte within 76,800 of the
- * caller's last; what is listed is at most 16 s old then, and a download's
- * would be off.
+ * Limits of a low-rate flow. Such a flow has been open for the minimum age, and
+ * its caller has acknowledged at most the burst plus the rate times the flow's
+ * age. Only these flows are written to the ledger (flow_ledger.h): a reset that
+ * is made from a list must carry a sequence number within 76,800 bytes of the
+ * caller's last acknowledgement. A list is up to 16 s old by then, and a
+ * download moves further in that time.
  */
 #define DY_LOW_RATE_MIN_AGE_MS 1000
 #define DY_LOW_RATE_BURST_BYTES 12000
 #define DY_LOW_RATE_BYTES_PER_S 4000
 
-/* Call each() for every steady flow; ack is its caller's last. */
+/*
+ * Calls each() for every low-rate flow; ack is the caller's last
+ * acknowledgement.
+ */
 typedef void dy_flow_holder_cb_t(void *context, const dy_flow_id_t *flow,
 				 uint32_t ack);
 void dy_flow_holder_each_low_rate(const dy_flow_holder_t *holder,
 				  uint64_t now_ms, dy_flow_holder_cb_t *each,
 				  void *context);
 
-/* Whether there is a record of the flow. */
+/* Returns whether the flow table contains flow. */
 int dy_flow_holder_has_flow(const dy_flow_holder_t *holder,
 			    const dy_flow_id_t *flow);
 
-/* Open or opening flows. */
+/* Returns the number of open and half-open flows. */
 unsigned dy_flow_holder_count(const dy_flow_holder_t *holder);
 
 #endif
--- a/include/damaskyard/opening_queue.h
+++ b/include/damaskyard/opening_queue.h
@@ -2,20 +2,20 @@
 #define DAMASKYARD_OPENING_QUEUE_H
 
 /*
- * Opening packets that wait at an agent for their target to have room. No
- * network.
+ * Queue of openings (SYN packets of new flows) that wait at an agent until
+ * their target has capacity. This module does no I/O.
  *
- * Load pattern: power is back, or targets were lost, and all callers open
- * flows within a second, to targets that are slow after their start.
- * What happens without it: targets queue what they can and refuse the rest.
- * Each refusal costs a caller one of its two retries and comes back at once as
- * another opening, and what was queued is answered too late: for seconds
- * hardly any request is in time, and many end without retries left.
- * What is done: an opening waits where it costs nobody anything, while the
- * target has as many requests as it answers in time. The youngest goes first:
- * its caller can still be served in time, where the oldest's cannot, and the
- * caller of the oldest has another try left. One that has waited for too long
- * is refused, at once.
+ * Load pattern: power is back or targets were lost, and all callers open flows
+ * within a second to targets that are slow after their start.
+ * Without it: targets queue what they can and refuse the rest. Each refusal
+ * costs a caller one of its two retries and comes back at once as another
+ * opening, and the queued requests are answered too late. For seconds hardly
+ * any request is in time, and many callers run out of retries.
+ * Mechanism: while the target has as many requests as it can answer in time,
+ * openings wait here, where they cost neither callers nor targets anything. The
+ * newest leaves first: its caller can still be served in time, unlike the
+ * oldest's, and the oldest's caller has another retry left. An opening that has
+ * waited for the maximum time is refused at once.
  */
 
 #include <stddef.h>
@@ -24,20 +24,22 @@
 #include "damaskyard/packet.h"
 
 /*
- * Openings that wait at one agent: at 2,000 flows a target and a caller each,
- * an eighth of them at once. 2 KB each.
+ * Capacity of the queue. A target has 2,000 flows of one caller each; the queue
+ * holds an eighth of them. An entry takes 2 KB.
  */
 #define DY_OPENINGS_MAX 256
 
 /*
- * How long one waits at most, in ms. Its caller gives it up after 1,400; the
- * refusal leaves it the time for another try.
+ * Maximum wait. A caller abandons an opening after 1,400 ms; an earlier refusal
+ * leaves it time for a retry.
  */
 #define DY_OPENING_WAIT_MAX_MS 500
 
 typedef struct dy_opening_queue dy_opening_queue_t;
 
-/* An opening: a balancer's forward with the room for what it points to. */
+/*
+ * An opening: a balancer's forward with the storage that the forward points to.
+ */
 typedef struct dy_opening {
 	dy_flow_forward_t forward;
 	dy_packet_t packet;
@@ -46,27 +48,35 @@
 	uint8_t bytes[DY_PACKET_BYTES];
 } dy_opening_t;
 
+/* Creates an empty queue. */
 dy_opening_queue_t *dy_opening_queue_create(void);
+/* Frees queue; NULL is allowed. */
 void dy_opening_queue_destroy(dy_opening_queue_t *queue);
 
 /*
- * Let an opening wait; forward and what it points to are copied. A copy of one
- * that waits takes its place and its time. Returns 0 if there is no room.
+ * Enqueues an opening; forward and what it points to are copied. A
+ * retransmission of a queued opening replaces it and keeps its position and
+ * wait time. Returns 0 if the queue is full.
  */
 int dy_opening_queue_add(dy_opening_queue_t *queue,
 			 const dy_flow_forward_t *forward,
 			 const dy_packet_t *packet, uint64_t now_ms);
 
+/* Returns whether an opening of flow is queued. */
 int dy_opening_queue_has(const dy_opening_queue_t *queue,
 			 const dy_flow_id_t *flow);
 
-/* Take the youngest. Returns 0 if there is none. */
+/* Dequeues the newest opening into opening. Returns 0 if the queue is empty. */
 int dy_opening_queue_pop(dy_opening_queue_t *queue, dy_opening_t *opening);
 
-/* Take one that has waited for too long. Returns 0 if there is none. */
+/*
+ * Dequeues an opening that has reached DY_OPENING_WAIT_MAX_MS, oldest first.
+ * Returns 0 if there is none.
+ */
 int dy_opening_queue_pop_expired(dy_opening_queue_t *queue, uint64_t now_ms,
 				 dy_opening_t *opening);
 
+/* Returns the number of queued openings. */
 unsigned dy_opening_queue_count(const dy_opening_queue_t *queue);
 
 #endif
--- a/src/connection/cold_limit.c
+++ b/src/connection/cold_limit.c
@@ -12,18 +12,18 @@
 	g_array_free(limit->times, TRUE);
 }
 
-/* The time of the opening of so many before the newest, 0 being that one. */
-static uint64_t time_at(const dy_cold_limit_t *limit, unsigned before)
+/* Returns the time of the opening that is n before the newest one. */
+static uint64_t time_at(const dy_cold_limit_t *limit, unsigned n)
 {
 	unsigned len = limit->times->len;
 
 	return g_array_index(limit->times, uint64_t,
-			     (limit->next + len - 1 - before) % len);
+			     (limit->next + len - 1 - n) % len);
 }
 
-void dy_cold_limit_set(dy_cold_limit_t *limit, unsigned most)
+void dy_cold_limit_set(dy_cold_limit_t *limit, unsigned max_openings)
 {
-	limit->max_per_window = MIN(most, DY_COLD_OPENINGS_MAX);
+	limit->max_per_window = MIN(max_openings, DY_COLD_OPENINGS_MAX);
 }
 
 int dy_cold_limit_allows(const dy_cold_limit_t *limit, uint64_t now_ms)
--- a/src/connection/flow_holder.c
+++ b/src/connection/flow_holder.c
@@ -13,7 +13,7 @@
 		{ "openings_deferred", &holder->deferred },
 		{ "packets_not_held", &holder->not_held },
 		{ "packets_bounced", &holder->bounced },
-		{ "bounces_unknown", &holder->stale_notes },
+		{ "bounces_unknown", &holder->unknown_bounces },
 		{ "packets_to_callers", &holder->to_callers },
 		{ "notices", &holder->notices },
 		{ "notices_refused", &holder->notices_refused },
@@ -33,11 +33,12 @@
 	holder->config = *config;
 	holder->flows = g_hash_table_new_full(
 		dy_flow_id_table_hash, dy_flow_id_table_equal, NULL, g_free);
-	for (i = 0; i < STAGES; i++)
+	for (i = 0; i < STAGE_COUNT; i++)
 		dy_list_init(&holder->stages[i]);
 	dy_list_init(&holder->requests);
-	holder->kept = g_new0(kept_forward_t, DY_PENDING_FORWARDS_MAX);
-	holder->waiting = dy_opening_queue_create();
+	holder->pending_forwards =
+		g_new0(pending_forward_t, DY_PENDING_FORWARDS_MAX);
+	holder->queued_openings = dy_opening_queue_create();
 	dy_cold_limit_init(&holder->cold);
 	holder->flow_limit = limit;
 	holder->refused_limit = limit;
@@ -53,9 +54,9 @@
 	if (!holder)
 		return;
 	g_hash_table_destroy(holder->flows);
-	dy_opening_queue_destroy(holder->waiting);
+	dy_opening_queue_destroy(holder->queued_openings);
 	dy_cold_limit_clear(&holder->cold);
-	g_free(holder->kept);
+	g_free(holder->pending_forwards);
 	g_free(holder);
 }
 
@@ -64,16 +65,19 @@
 {
 	load->slots = holder->notice.slots;
 	load->flows = dy_flow_holder_count(holder);
-	load->busy = holder->busy + dy_opening_queue_count(holder->waiting);
+	load->busy =
+		holder->busy + dy_opening_queue_count(holder->queued_openings);
 	load->accepts = dy_flow_holder_accepts(holder);
 	load->cold = now_ms < holder->cold_until_ms;
 }
 
 /* Forwards of balancers. */
 
-/* Returns the record of a balancer that is told of the load, or NULL. */
-static balancer_t *keep_balancer(dy_flow_holder_t *holder,
-				 const dy_address_t *address)
+/*
+ * Returns the balancer's record, added if needed, or NULL if the table is full.
+ */
+static balancer_t *get_balancer(dy_flow_holder_t *holder,
+				const dy_address_t *address)
 {
 	balancer_t *balancer;
 	unsigned i;
@@ -87,29 +91,30 @@
 		return NULL;
 	balancer = &holder->balancers[holder->balancer_count++];
 	balancer->address = *address;
-	balancer->heard = 1;
+	balancer->received = 1;
 	return balancer;
 }
 
-static void note_balancer(dy_flow_holder_t *holder, const dy_address_t *address,
-			  int straight, uint64_t now_ms)
+static void record_balancer(dy_flow_holder_t *holder,
+			    const dy_address_t *address, int direct,
+			    uint64_t now_ms)
 {
-	balancer_t *balancer = keep_balancer(holder, address);
+	balancer_t *balancer = get_balancer(holder, address);
 
 	if (!balancer)
 		return;
 	balancer->heard_ms = now_ms;
-	if (straight && !++balancer->heard)
-		balancer->heard = 1;
+	if (direct && !++balancer->received)
+		balancer->received = 1;
 }
 
 void dy_flow_holder_subscribe(dy_flow_holder_t *holder,
 			      const dy_address_t *address, uint64_t now_ms)
 {
-	note_balancer(holder, address, 1, now_ms);
+	record_balancer(holder, address, 1, now_ms);
 }
 
-void holder_tell_held(dy_flow_holder_t *holder, const dy_address_t *balancer,
+void holder_send_held(dy_flow_holder_t *holder, const dy_address_t *balancer,
 		      const dy_flow_id_t *flow, int open, uint64_t now_ms)
 {
 	dy_flow_held_t held = { 0 };
@@ -163,58 +168,62 @@
 					  &forward->balancer, &nowhere);
 }
 
-void holder_give(dy_flow_holder_t *holder, const dy_flow_forward_t *forward,
-		 const dy_packet_t *packet, uint64_t now_ms)
+void holder_send_to_target(dy_flow_holder_t *holder,
+			   const dy_flow_forward_t *forward,
+			   const dy_packet_t *packet, uint64_t now_ms)
 {
-	kept_forward_t *kept;
+	pending_forward_t *pending;
 
-	/* What only acknowledges is not answered. */
+	/* The target does not respond to a bare acknowledgement. */
 	if (packet->data_bytes || packet->flags & DY_PACKET_SYN)
-		holder_note_owing(holder, now_ms);
-
-	if (!++holder->last_note)
-		++holder->last_note;
-	kept = &holder->kept[holder->last_note % DY_PENDING_FORWARDS_MAX];
-	kept->note = holder->last_note;
-	kept->forward = *forward;
-	g_strlcpy(kept->service, forward->service, sizeof(kept->service));
-	kept->forward.service = kept->service;
-	memcpy(kept->tries, forward->tries.tries_val,
-	       forward->tries.tries_len * sizeof(kept->tries[0]));
-	kept->forward.tries.tries_val = kept->tries;
+		holder_expect_response(holder, now_ms);
+
+	if (!++holder->last_tag)
+		++holder->last_tag;
+	pending = &holder->pending_forwards[holder->last_tag %
+					    DY_PENDING_FORWARDS_MAX];
+	pending->tag = holder->last_tag;
+	pending->forward = *forward;
+	g_strlcpy(pending->service, forward->service, sizeof(pending->service));
+	pending->forward.service = pending->service;
+	memcpy(pending->tries, forward->tries.tries_val,
+	       forward->tries.tries_len * sizeof(pending->tries[0]));
+	pending->forward.tries.tries_val = pending->tries;
 	holder->config.callbacks->to_target(
 		holder->config.context, (uint8_t *)forward->packet.packet_val,
-		forward->packet.packet_len, holder->last_note);
+		forward->packet.packet_len, holder->last_tag);
 }
 
 /*
- * Whether a packet is of the opening that this target answered. Guards
- * against two copies of an opening packet that were answered by two targets:
- * the caller acknowledged one of them, and the flow is that one's alone.
+ * Returns whether packet acknowledges the SYN of this target.
+ *
+ * Guards against two transmissions of a SYN that two targets responded to: the
+ * caller acknowledged one of them, and only that target has the flow.
  */
-static int acknowledges(const held_flow_t *flow, const dy_packet_t *packet)
+static int acks_target_syn(const held_flow_t *flow, const dy_packet_t *packet)
 {
-	return flow->answered && packet->ack - flow->target_seq <= 1;
+	return flow->syn_answered && packet->ack - flow->target_seq <= 1;
 }
 
 /*
- * Whether every flow of the target must stand in the record: this agent was
- * there from its start. Not told by clocks, which may be set.
+ * Returns whether the table contains every flow of the target, because this
+ * agent saw the target start. Clocks may be set, so they are not compared for
+ * this.
  */
-static int knows_all(const dy_flow_holder_t *holder)
+static int has_all_flows(const dy_flow_holder_t *holder)
 {
 	return holder->saw_start;
 }
 
-static void note_caller(dy_flow_holder_t *holder, held_flow_t *flow,
-			const dy_packet_t *packet, uint64_t now_ms)
+static void update_from_caller(dy_flow_holder_t *holder, held_flow_t *flow,
+			       const dy_packet_t *packet, uint64_t now_ms)
 {
-	if (!flow->open_ms) {
-		flow->open_ms = now_ms;
-		flow->open_ack = packet->ack;
+	if (!flow->open_since_ms) {
+		flow->open_since_ms = now_ms;
+		flow->ack_at_open = packet->ack;
 	}
 	flow->caller_ack = packet->ack;
-	if (flow->stage == STAGE_HALF)
+	if (flow->stage == STAGE_HALF_OPEN)
 		holder_enter_stage(holder, flow, STAGE_OPEN, now_ms);
 	else
 		holder_touch(holder, flow, now_ms);
@@ -223,32 +232,34 @@
 	if (packet->data_bytes)
 		holder_begin_request(holder, flow, packet, now_ms);
 	if (packet->flags & DY_PACKET_FIN)
-		flow->caller_ended = 1;
+		flow->caller_finished = 1;
 	if (packet->flags & DY_PACKET_RST ||
-	    (flow->caller_ended && flow->target_ended))
+	    (flow->caller_finished && flow->target_finished))
 		holder_enter_stage(holder, flow, STAGE_ENDED, now_ms);
 }
 
-static void take_known(dy_flow_holder_t *holder, dy_flow_forward_t *forward,
-		       const dy_packet_t *packet, held_flow_t *flow,
-		       uint64_t now_ms)
+static void handle_known_flow(dy_flow_holder_t *holder,
+			      dy_flow_forward_t *forward,
+			      const dy_packet_t *packet, held_flow_t *flow,
+			      uint64_t now_ms)
 {
-	if (flow->stage == STAGE_HALF && !acknowledges(flow, packet)) {
+	if (flow->stage == STAGE_HALF_OPEN && !acks_target_syn(flow, packet)) {
 		holder_log_flow(holder, "packet_passed_on", &packet->flow,
 				"other_opening", now_ms);
-		holder_pass_on(holder, forward, packet, flow->answered);
+		holder_pass_on(holder, forward, packet, flow->syn_answered);
 		return;
 	}
-	note_caller(holder, flow, packet, now_ms);
-	holder_give(holder, forward, packet, now_ms);
+	update_from_caller(holder, flow, packet, now_ms);
+	holder_send_to_target(holder, forward, packet, now_ms);
 	if (forward->tell)
-		holder_tell_held(holder, &forward->balancer, &flow->id,
-				 flow->stage != STAGE_HALF, now_ms);
+		holder_send_held(holder, &forward->balancer, &flow->id,
+				 flow->stage != STAGE_HALF_OPEN, now_ms);
 }
 
-static void pass_on_known(dy_flow_holder_t *holder, dy_flow_forward_t *forward,
-			  const dy_packet_t *packet, const char *reason,
-			  uint64_t now_ms)
+static void log_and_pass_on(dy_flow_holder_t *holder,
+			    dy_flow_forward_t *forward,
+			    const dy_packet_t *packet, const char *reason,
+			    uint64_t now_ms)
 {
 	holder_log_flow(holder, "packet_passed_on", &packet->flow, reason,
 			now_ms);
@@ -256,14 +267,14 @@
 }
 
 /*
- * Guards against a search that ends at a target which is gone: it gives
- * nothing back, and the agents behind it are never asked. Whether the flow was
- * there stays open.
+ * Guards against a search that ends at a dead target: the target bounces
+ * nothing, and the agents after this one are never asked. Whether the target
+ * held the flow remains uncertain.
  */
-static int is_silent(const dy_flow_holder_t *holder, uint64_t now_ms)
+static int is_notice_overdue(const dy_flow_holder_t *holder, uint64_t now_ms)
 {
 	return holder->has_target &&
-	       now_ms - holder->noticed_ms > DY_NOTICE_TIMEOUT_MS;
+	       now_ms - holder->last_notice_ms > DY_NOTICE_TIMEOUT_MS;
 }
 
 void dy_flow_holder_receive_forward(dy_flow_holder_t *holder,
@@ -274,39 +285,40 @@
 
 	if (forward->step >= forward->tries.tries_len)
 		return;
-	note_balancer(holder, &forward->balancer, !forward->step, now_ms);
+	record_balancer(holder, &forward->balancer, !forward->step, now_ms);
 	if (packet->flags & DY_PACKET_SYN)
-		holder_take_opening(holder, forward, packet, flow, now_ms);
+		holder_handle_opening(holder, forward, packet, flow, now_ms);
 	else if (flow)
-		take_known(holder, forward, packet, flow, now_ms);
-	else if (knows_all(holder))
-		pass_on_known(holder, forward, packet, "not_held", now_ms);
-	else if (is_silent(holder, now_ms))
+		handle_known_flow(holder, forward, packet, flow, now_ms);
+	else if (has_all_flows(holder))
+		log_and_pass_on(holder, forward, packet, "not_held", now_ms);
+	else if (is_notice_overdue(holder, now_ms))
 		holder_pass_on(holder, forward, packet, 0);
 	else
-		holder_give(holder, forward, packet, now_ms);
+		holder_send_to_target(holder, forward, packet, now_ms);
 }
 
 /* Packets of the target. */
 
-static void take_back(dy_flow_holder_t *holder, const dy_packet_t *packet,
-		      uint8_t *bytes, size_t len, uint64_t now_ms)
+static void handle_bounce(dy_flow_holder_t *holder, const dy_packet_t *packet,
+			  uint8_t *bytes, size_t len, uint64_t now_ms)
 {
-	kept_forward_t *kept =
-		&holder->kept[packet->tag % DY_PENDING_FORWARDS_MAX];
+	pending_forward_t *pending =
+		&holder->pending_forwards[packet->tag %
+					  DY_PENDING_FORWARDS_MAX];
 	held_flow_t *flow = g_hash_table_lookup(holder->flows, &packet->flow);
 	int opening = !!(packet->flags & DY_PACKET_SYN);
 	dy_flow_forward_t forward;
 
 	++*holder->bounced;
-	if (flow && (!opening || flow->stage == STAGE_HALF))
+	if (flow && (!opening || flow->stage == STAGE_HALF_OPEN))
 		holder_drop_flow(holder, flow, "given_back", now_ms);
-	if (!packet->tag || kept->note != packet->tag) {
-		++*holder->stale_notes;
+	if (!packet->tag || pending->tag != packet->tag) {
+		++*holder->unknown_bounces;
 		return;
 	}
-	kept->note = 0;
-	forward = kept->forward;
+	pending->tag = 0;
+	forward = pending->forward;
 	forward.packet.packet_val = (char *)bytes;
 	forward.packet.packet_len = (u_int)len;
 	holder_log_flow(holder,
@@ -315,25 +327,26 @@
 	holder_pass_on(holder, &forward, packet, 1);
 }
 
-static void note_target(dy_flow_holder_t *holder, held_flow_t *flow,
-			const dy_packet_t *packet, uint64_t now_ms)
+static void update_from_target(dy_flow_holder_t *holder, held_flow_t *flow,
+			       const dy_packet_t *packet, uint64_t now_ms)
 {
 	if (packet->flags & DY_PACKET_SYN) {
-		if (!flow->answered)
+		if (!flow->syn_answered)
 			dy_histogram_add(&holder->opening_ms,
 					 now_ms - flow->used_ms);
-		flow->answered = 1;
+		flow->syn_answered = 1;
 		flow->target_seq = packet->seq;
 	}
 	holder_touch(holder, flow, now_ms);
 	if (packet->data_bytes && flow->busy)
-		dy_histogram_add(&holder->answer_ms, now_ms - flow->busy_ms);
+		dy_histogram_add(&holder->answer_ms,
+				 now_ms - flow->busy_since_ms);
 	if (packet->data_bytes)
 		holder_end_request(holder, flow, "answered", now_ms);
 	if (packet->flags & DY_PACKET_FIN)
-		flow->target_ended = 1;
+		flow->target_finished = 1;
 	if (packet->flags & DY_PACKET_RST ||
-	    (flow->caller_ended && flow->target_ended))
+	    (flow->caller_finished && flow->target_finished))
 		holder_enter_stage(holder, flow, STAGE_ENDED, now_ms);
 }
 
@@ -343,30 +356,31 @@
 {
 	held_flow_t *flow;
 
-	holder_note_alive(holder);
+	holder_confirm_alive(holder);
 	if (packet->flags & DY_PACKET_BOUNCED) {
-		take_back(holder, packet, bytes, len, now_ms);
+		handle_bounce(holder, packet, bytes, len, now_ms);
 		return;
 	}
 	flow = g_hash_table_lookup(holder->flows, &packet->flow);
 	if (!flow)
-		flow = holder_add_flow(
-			holder, &packet->flow,
-			packet->flags & DY_PACKET_SYN ? STAGE_HALF : STAGE_OPEN,
-			now_ms);
-	note_target(holder, flow, packet, now_ms);
+		flow = holder_add_flow(holder, &packet->flow,
+				       packet->flags & DY_PACKET_SYN
+					       ? STAGE_HALF_OPEN
+					       : STAGE_OPEN,
+				       now_ms);
+	update_from_target(holder, flow, packet, now_ms);
 	if (packet->flags & DY_PACKET_SYN && flow->opener.port)
-		holder_tell_held(holder, &flow->opener, &flow->id,
-				 flow->stage != STAGE_HALF, now_ms);
+		holder_send_held(holder, &flow->opener, &flow->id,
+				 flow->stage != STAGE_HALF_OPEN, now_ms);
 	++*holder->to_callers;
 	holder->config.callbacks->to_caller(holder->config.context,
 					    &packet->flow, bytes, len);
-	holder_serve_waiting(holder, now_ms);
+	holder_serve_queue(holder, now_ms);
 }
 
-/* What is done by time. */
+/* Periodic work. */
 
-static void report(dy_flow_holder_t *holder, uint64_t now_ms)
+static void send_reports(dy_flow_holder_t *holder, uint64_t now_ms)
 {
 	dy_flow_report_t message = { 0 };
 	unsigned i = 0;
@@ -379,7 +393,7 @@
 				holder->balancers[--holder->balancer_count];
 			continue;
 		}
-		message.heard = holder->balancers[i].heard;
+		message.heard = holder->balancers[i].received;
 		holder->config.callbacks->report(holder->config.context,
 						 &holder->balancers[i].address,
 						 &message);
@@ -389,13 +403,14 @@
 
 void dy_flow_holder_tick(dy_flow_holder_t *holder, uint64_t now_ms)
 {
-	holder_expire(holder, STAGE_HALF, DY_HALF_OPEN_MS, now_ms);
-	holder_expire(holder, STAGE_OPEN, DY_HELD_IDLE_MS, now_ms);
-	holder_expire(holder, STAGE_ENDED, DY_TIME_WAIT_MS, now_ms);
-	if (holder->ready && now_ms - holder->noticed_ms > DY_NOTICE_TIMEOUT_MS)
+	holder_expire_stage(holder, STAGE_HALF_OPEN, DY_HALF_OPEN_MS, now_ms);
+	holder_expire_stage(holder, STAGE_OPEN, DY_HELD_IDLE_MS, now_ms);
+	holder_expire_stage(holder, STAGE_ENDED, DY_TIME_WAIT_MS, now_ms);
+	if (holder->ready &&
+	    now_ms - holder->last_notice_ms > DY_NOTICE_TIMEOUT_MS)
 		holder_set_ready(holder, 0, "silent");
-	holder_forget_requests(holder, now_ms);
+	holder_expire_requests(holder, now_ms);
 	holder_check_presence(holder, now_ms);
-	holder_serve_waiting(holder, now_ms);
-	report(holder, now_ms);
+	holder_serve_queue(holder, now_ms);
+	send_reports(holder, now_ms);
 }
--- a/src/connection/flow_holder_flows.c
+++ b/src/connection/flow_holder_flows.c
@@ -1,6 +1,4 @@
-/*
- * The records of the flows that a target holds, and the requests in them.
- */
+/* The table of the flows that a target holds, and the requests in them. */
 
 #include "flow_holder_private.h"
 
@@ -12,15 +10,15 @@
 {
 	char text[DY_FLOW_TEXT_BYTES];
 
-	if (!*flow->request ||
+	if (!*flow->request_id ||
 	    !dy_log_allow(&holder->request_limit, event, now_ms))
 		return;
 	dy_log_event(DY_LOG_INFO, event,
 		     "request=%s flow=%s outcome=%s ms=%lu target=%s busy=%u "
 		     "slots=%u",
-		     dy_log_quote(flow->request),
+		     dy_log_quote(flow->request_id),
 		     dy_flow_id_format(&flow->id, text), outcome,
-		     (unsigned long)(now_ms - flow->busy_ms),
+		     (unsigned long)(now_ms - flow->busy_since_ms),
 		     dy_log_quote(holder->notice.id), holder->busy,
 		     holder->notice.slots);
 }
@@ -31,10 +29,10 @@
 	if (flow->busy)
 		return;
 	flow->busy = 1;
-	flow->busy_ms = now_ms;
+	flow->busy_since_ms = now_ms;
 	holder->busy++;
 	dy_list_append(&holder->requests, &flow->request_link);
-	g_snprintf(flow->request, sizeof(flow->request), "%.*s",
+	g_snprintf(flow->request_id, sizeof(flow->request_id), "%.*s",
 		   packet->request_id ? (int)packet->request_id_len : 0,
 		   packet->request_id ? packet->request_id : "");
 	log_request(holder, "request_begun", flow, "given_to_target", now_ms);
@@ -51,14 +49,14 @@
 	log_request(holder, "request_ended", flow, outcome, now_ms);
 }
 
-void holder_forget_requests(dy_flow_holder_t *holder, uint64_t now_ms)
+void holder_expire_requests(dy_flow_holder_t *holder, uint64_t now_ms)
 {
 	held_flow_t *flow;
 
 	while (!dy_list_empty(&holder->requests)) {
 		flow = DY_LIST_ITEM(holder->requests.next, held_flow_t,
 				    request_link);
-		if (now_ms - flow->busy_ms < DY_REQUEST_TIMEOUT_MS)
+		if (now_ms - flow->busy_since_ms < DY_REQUEST_TIMEOUT_MS)
 			return;
 		holder_end_request(holder, flow, "unanswered", now_ms);
 	}
@@ -90,7 +88,7 @@
 	flow->id = *id;
 	flow->stage = stage;
 	flow->used_ms = now_ms;
-	flow->noted_ms = now_ms;
+	flow->recorded_ms = now_ms;
 	dy_list_init(&flow->link);
 	dy_list_init(&flow->request_link);
 	dy_list_append(&holder->stages[stage], &flow->link);
@@ -114,7 +112,7 @@
 	dy_list_t *list;
 	int i;
 
-	for (i = 0; i < STAGES; i++) {
+	for (i = 0; i < STAGE_COUNT; i++) {
 		list = &holder->stages[i];
 		while (!dy_list_empty(list))
 			holder_drop_flow(
@@ -133,11 +131,11 @@
 	dy_list_t *tmp;
 	int i;
 
-	for (i = 0; i < STAGES; i++)
+	for (i = 0; i < STAGE_COUNT; i++)
 		DY_LIST_EACH_SAFE(pos, tmp, &holder->stages[i])
 		{
 			flow = DY_LIST_ITEM(pos, held_flow_t, link);
-			if (flow->noted_ms >= since_ms)
+			if (flow->recorded_ms >= since_ms)
 				continue;
 			holder_drop_flow(holder, flow, reason, now_ms);
 			dropped++;
@@ -145,15 +143,15 @@
 	return dropped;
 }
 
-void holder_expire(dy_flow_holder_t *holder, held_stage_t stage,
-		   uint64_t after_ms, uint64_t now_ms)
+void holder_expire_stage(dy_flow_holder_t *holder, held_stage_t stage,
+			 uint64_t timeout_ms, uint64_t now_ms)
 {
 	held_flow_t *flow;
 
 	while (!dy_list_empty(&holder->stages[stage])) {
 		flow = DY_LIST_ITEM(holder->stages[stage].next, held_flow_t,
 				    link);
-		if (now_ms - flow->used_ms < after_ms)
+		if (now_ms - flow->used_ms < timeout_ms)
 			return;
 		holder_drop_flow(holder, flow, "idle", now_ms);
 	}
@@ -161,10 +159,10 @@
 
 static int is_steady(const held_flow_t *flow, uint64_t now_ms)
 {
-	uint64_t age_ms = now_ms - flow->open_ms;
+	uint64_t age_ms = now_ms - flow->open_since_ms;
 
-	return flow->open_ms && age_ms >= DY_LOW_RATE_MIN_AGE_MS &&
-	       flow->caller_ack - flow->open_ack <=
+	return flow->open_since_ms && age_ms >= DY_LOW_RATE_MIN_AGE_MS &&
+	       flow->caller_ack - flow->ack_at_open <=
 		       DY_LOW_RATE_BURST_BYTES +
 			       age_ms * DY_LOW_RATE_BYTES_PER_S / 1000;
 }
--- a/src/connection/flow_holder_notice.c
+++ b/src/connection/flow_holder_notice.c
@@ -1,6 +1,4 @@
-/*
- * What a target says of itself: whether it is ready, and which start of it.
- */
+/* The target's notices: whether it is ready, and which instance it is. */
 
 #include "flow_holder_private.h"
 
@@ -8,21 +6,22 @@
 
 #include "damaskyard/address.h"
 
-/* A target's first notice carries this or less. */
+/* The first notice of an instance has this sequence number or a lower one. */
 #define FIRST_SEQUENCE 1
 
 /*
- * A start of the target whose notices stopped for so long, in ms, yields to one
- * whose time of start is earlier: the clock may have been set back. Two and a
- * half times the time between notices.
+ * Timeout in ms after which an instance without notices yields to one with an
+ * earlier start time; the clock may have been set back between the two. It is
+ * 2.5 notice intervals.
  */
-#define REPLACED_MS 3000
+#define INSTANCE_TIMEOUT_MS 3000
 
 /*
- * A notice may be read so long after it was sent, in ms, as where the agent's
- * VM stood still; and a copy of an opening may follow it by 600.
+ * Maximum delay in ms between sending and reading a notice, as when the agent's
+ * VM was paused. It also covers a SYN that is retransmitted 600 ms after the
+ * first one.
  */
-#define NOTICE_LATE_MS 1000
+#define NOTICE_DELAY_MAX_MS 1000
 
 void holder_set_ready(dy_flow_holder_t *holder, int ready, const char *reason)
 {
@@ -37,31 +36,31 @@
 }
 
 /*
- * Drop the flows of earlier starts.
+ * Drops the flows of earlier instances. Returns their number.
  *
- * Guards against a target that is replaced at its address within moments: flows
- * that are opened before its first notice comes are its own already, and with
- * their records gone this agent would swear that it does not hold them. Its
- * predecessor was there when it sent its last notice, so what was opened before
- * that is over; what was opened later stays, and the target gives back what is
- * not its own.
+ * Guards against a target that is replaced at its address within moments. Flows
+ * that open before the new instance's first notice already belong to it;
+ * without their records this agent would report them as certainly not held. The
+ * earlier instance still ran when it sent its last notice, so flows from before
+ * that are over. Later ones stay in the table, and the target bounces packets
+ * of those that it does not hold.
  */
-static unsigned drop_flows_of_before(dy_flow_holder_t *holder, uint64_t now_ms)
+static unsigned drop_old_flows(dy_flow_holder_t *holder, uint64_t now_ms)
 {
-	uint64_t sent_ms = holder->noticed_ms;
+	uint64_t sent_ms = holder->last_notice_ms;
 
 	if (!holder->has_target)
 		return 0;
-	sent_ms -= MIN(sent_ms, (uint64_t)NOTICE_LATE_MS);
+	sent_ms -= MIN(sent_ms, (uint64_t)NOTICE_DELAY_MAX_MS);
 	return holder_drop_older(holder, sent_ms, "target_started_anew",
 				 now_ms);
 }
 
-/* A start of the target that was not heard of before. */
-static void begin_target(dy_flow_holder_t *holder,
-			 const dy_target_notice_t *notice, uint64_t now_ms)
+/* Starts tracking a new instance of the target. */
+static void begin_instance(dy_flow_holder_t *holder,
+			   const dy_target_notice_t *notice, uint64_t now_ms)
 {
-	unsigned dropped = drop_flows_of_before(holder, now_ms);
+	unsigned dropped = drop_old_flows(holder, now_ms);
 
 	dy_log_event(DY_LOG_INFO, "target_started",
 		     "id=%s born_ms=%lu slots=%u flows_dropped=%u flows=%u",
@@ -70,47 +69,49 @@
 	if (holder->has_target || notice->sequence <= FIRST_SEQUENCE)
 		holder->saw_start = 1;
 	if (!holder->saw_start)
-		holder->unseen_until_ms = now_ms + DY_COLD_WINDOW_MS;
+		holder->cold_unknown_until_ms = now_ms + DY_COLD_WINDOW_MS;
 	holder->has_target = 1;
 	holder->left = 0;
 	holder->ready = 0;
-	holder->listened = 0;
+	holder->was_listening = 0;
 	holder->config.callbacks->check_port(holder->config.context);
 }
 
-typedef enum notice_age {
+typedef enum notice_order {
 	NOTICE_NEWER,
-	NOTICE_OTHER_START,
-	NOTICE_OLD
-} notice_age_t;
+	NOTICE_NEW_INSTANCE,
+	NOTICE_STALE
+} notice_order_t;
 
 /*
- * Guards against a notice that was held up and arrives after a later one, or
- * after its sender has ended and another start has taken its place: it would
- * make a draining target ready again. Starts are ordered by their time.
+ * Guards against a notice that was delayed and arrives after a later one, or
+ * after its sender ended and another instance replaced it: it would make a
+ * draining target ready again. Instances are ordered by their start times.
  */
-static notice_age_t tell_age(const dy_flow_holder_t *holder,
-			     const dy_target_notice_t *notice, uint64_t now_ms)
+static notice_order_t order_notice(const dy_flow_holder_t *holder,
+				   const dy_target_notice_t *notice,
+				   uint64_t now_ms)
 {
-	const dy_target_notice_t *held = &holder->notice;
+	const dy_target_notice_t *current = &holder->notice;
 
 	if (!holder->has_target)
-		return NOTICE_OTHER_START;
-	if (notice->born_ms > held->born_ms)
-		return NOTICE_OTHER_START;
-	if (notice->born_ms < held->born_ms ||
-	    strcmp(notice->id, held->id) != 0)
-		return now_ms - holder->noticed_ms > REPLACED_MS
-			       ? NOTICE_OTHER_START
-			       : NOTICE_OLD;
-	return notice->sequence > held->sequence ? NOTICE_NEWER : NOTICE_OLD;
+		return NOTICE_NEW_INSTANCE;
+	if (notice->born_ms > current->born_ms)
+		return NOTICE_NEW_INSTANCE;
+	if (notice->born_ms < current->born_ms ||
+	    strcmp(notice->id, current->id) != 0)
+		return now_ms - holder->last_notice_ms > INSTANCE_TIMEOUT_MS
+			       ? NOTICE_NEW_INSTANCE
+			       : NOTICE_STALE;
+	return notice->sequence > current->sequence ? NOTICE_NEWER
+						    : NOTICE_STALE;
 }
 
 int dy_flow_holder_receive_notice(dy_flow_holder_t *holder,
 				  const dy_target_notice_t *notice,
 				  uint64_t now_ms)
 {
-	notice_age_t age;
+	notice_order_t order;
 
 	++*holder->notices;
 	if (strcmp(notice->service, holder->config.service) != 0 ||
@@ -124,14 +125,14 @@
 				     dy_log_quote(notice->service));
 		return 0;
 	}
-	age = tell_age(holder, notice, now_ms);
-	if (age == NOTICE_OLD)
+	order = order_notice(holder, notice, now_ms);
+	if (order == NOTICE_STALE)
 		return 1;
-	holder_note_alive(holder);
-	if (age == NOTICE_OTHER_START)
-		begin_target(holder, notice, now_ms);
+	holder_confirm_alive(holder);
+	if (order == NOTICE_NEW_INSTANCE)
+		begin_instance(holder, notice, now_ms);
 	holder->notice = *notice;
-	holder->noticed_ms = now_ms;
+	holder->last_notice_ms = now_ms;
 	holder->cold_until_ms = now_ms + notice->cold_ms;
 	holder_set_ready(holder, notice->state == DY_TARGET_READY,
 			 notice->state == DY_TARGET_READY ? "notice"
@@ -156,7 +157,7 @@
 				  uint64_t now_ms)
 {
 	holder->evacuated = evacuated;
-	holder_serve_waiting(holder, now_ms);
+	holder_serve_queue(holder, now_ms);
 }
 
 int dy_flow_holder_is_serving(const dy_flow_holder_t *holder)
@@ -178,10 +179,10 @@
 				      uint64_t now_ms)
 {
 	return !holder->has_target || holder->left ||
-	       now_ms - holder->noticed_ms > DY_NOTICE_TIMEOUT_MS;
+	       now_ms - holder->last_notice_ms > DY_NOTICE_TIMEOUT_MS;
 }
 
 unsigned dy_flow_holder_count(const dy_flow_holder_t *holder)
 {
-	return holder->counts[STAGE_HALF] + holder->counts[STAGE_OPEN];
+	return holder->counts[STAGE_HALF_OPEN] + holder->counts[STAGE_OPEN];
 }
--- a/src/connection/flow_holder_presence.c
+++ b/src/connection/flow_holder_presence.c
@@ -1,45 +1,43 @@
-/*
- * Whether the target is there, told by its signs of life and its port.
- */
+/* Detects that the target is gone, by missing responses and its port. */
 
 #include "flow_holder_private.h"
 
 #include <string.h>
 
 /*
- * Checks in a row that must find nobody, for a target that was heard of: an
- * answer of its last moment may have been under way during the first.
+ * Refused checks in a row after which a known target is gone. One is not
+ * enough: the target's last packet may still have been in flight during it.
  */
-#define REFUSALS 2
+#define REFUSALS_TO_CONFIRM 2
 
-void holder_note_owing(dy_flow_holder_t *holder, uint64_t now_ms)
+void holder_expect_response(dy_flow_holder_t *holder, uint64_t now_ms)
 {
-	if (!holder->owing_ms)
-		holder->owing_ms = now_ms;
+	if (!holder->response_due_since_ms)
+		holder->response_due_since_ms = now_ms;
 }
 
-void holder_note_alive(dy_flow_holder_t *holder)
+void holder_confirm_alive(dy_flow_holder_t *holder)
 {
-	holder->owing_ms = 0;
+	holder->response_due_since_ms = 0;
 	holder->refusals = 0;
-	holder->absent = 0;
+	holder->gone = 0;
 }
 
 void holder_check_presence(dy_flow_holder_t *holder, uint64_t now_ms)
 {
-	if (holder->absent || !holder->has_target)
+	if (holder->gone || !holder->has_target)
 		return;
-	if (holder->refusals ||
-	    (holder->owing_ms &&
-	     now_ms - holder->owing_ms >= DY_TARGET_RESPONSE_TIMEOUT_MS))
+	if (holder->refusals || (holder->response_due_since_ms &&
+				 now_ms - holder->response_due_since_ms >=
+					 DY_TARGET_RESPONSE_TIMEOUT_MS))
 		holder->config.callbacks->check_port(holder->config.context);
 }
 
-static void note_gone(dy_flow_holder_t *holder, uint64_t now_ms)
+static void mark_target_gone(dy_flow_holder_t *holder, uint64_t now_ms)
 {
-	holder->absent = 1;
-	holder->owing_ms = 0;
-	/* Whatever starts there from now on is seen from its start. */
+	holder->gone = 1;
+	holder->response_due_since_ms = 0;
+	/* Any target that starts from now on starts after this agent. */
 	holder->saw_start = 1;
 	if (!holder->has_target)
 		return;
@@ -54,21 +52,23 @@
 				 dy_port_state_t state, uint64_t now_ms)
 {
 	if (state == DY_PORT_LISTENING)
-		holder->listened = 1;
+		holder->was_listening = 1;
 	if (state != DY_PORT_REFUSED) {
 		holder->refusals = 0;
-		/* It is there: what it owes is due anew. */
-		holder->owing_ms = holder->owing_ms ? now_ms : 0;
+		/* The target runs: restart the response timeout. */
+		holder->response_due_since_ms =
+			holder->response_due_since_ms ? now_ms : 0;
 		return;
 	}
-	/* Nobody was ever seen to listen there: its silence may be slowness. */
-	if (holder->has_target && !holder->listened) {
-		holder->owing_ms = holder->owing_ms ? now_ms : 0;
+	/* The port was never seen open, so the target may just be slow. */
+	if (holder->has_target && !holder->was_listening) {
+		holder->response_due_since_ms =
+			holder->response_due_since_ms ? now_ms : 0;
 		return;
 	}
 	holder->refusals++;
-	if (!holder->has_target || holder->refusals >= REFUSALS)
-		note_gone(holder, now_ms);
+	if (!holder->has_target || holder->refusals >= REFUSALS_TO_CONFIRM)
+		mark_target_gone(holder, now_ms);
 }
 
 dy_target_instance_state_t dy_flow_holder_instance_state(
@@ -76,7 +76,7 @@
 {
 	const dy_target_notice_t *notice = &holder->notice;
 
-	if (holder->absent)
+	if (holder->gone)
 		return DY_TARGET_INSTANCE_ENDED;
 	if (!holder->has_target)
 		return DY_TARGET_INSTANCE_UNKNOWN;
@@ -87,10 +87,10 @@
 
 const dy_target_notice_t *dy_flow_holder_target(const dy_flow_holder_t *holder)
 {
-	return holder->has_target && !holder->absent ? &holder->notice : NULL;
+	return holder->has_target && !holder->gone ? &holder->notice : NULL;
 }
 
 int dy_flow_holder_is_target_gone(const dy_flow_holder_t *holder)
 {
-	return holder->absent;
+	return holder->gone;
 }
--- a/src/connection/opening_queue.c
+++ b/src/connection/opening_queue.c
@@ -6,11 +6,11 @@
 
 #include "damaskyard/list.h"
 
-typedef struct waiting {
-	dy_list_t link; /* oldest first */
-	uint64_t since_ms;
+typedef struct queued_opening {
+	dy_list_t link; /* in by_age, oldest first */
+	uint64_t enqueued_ms;
 	dy_opening_t opening;
-} waiting_t;
+} queued_opening_t;
 
 struct dy_opening_queue {
 	GHashTable *by_flow;
@@ -35,13 +35,14 @@
 	g_free(queue);
 }
 
-/* Copy a forward, and what it points to, into an opening's own room. */
-static void fill(dy_opening_t *opening, const dy_flow_forward_t *forward,
-		 const dy_packet_t *packet)
+/* Copies a forward, and what it points to, into the storage of opening. */
+static void copy_opening(dy_opening_t *opening,
+			 const dy_flow_forward_t *forward,
+			 const dy_packet_t *packet)
 {
 	opening->forward = *forward;
 	opening->packet = *packet;
-	opening->packet.request_id = NULL; /* an opening has no data */
+	opening->packet.request_id = NULL; /* a SYN carries no data */
 	g_strlcpy(opening->service, forward->service, sizeof(opening->service));
 	memcpy(opening->tries, forward->tries.tries_val,
 	       forward->tries.tries_len * sizeof(opening->tries[0]));
@@ -56,19 +57,20 @@
 			 const dy_flow_forward_t *forward,
 			 const dy_packet_t *packet, uint64_t now_ms)
 {
-	waiting_t *waiting = g_hash_table_lookup(queue->by_flow, &packet->flow);
+	queued_opening_t *queued =
+		g_hash_table_lookup(queue->by_flow, &packet->flow);
 
-	if (!waiting) {
+	if (!queued) {
 		if (g_hash_table_size(queue->by_flow) >= DY_OPENINGS_MAX)
 			return 0;
-		waiting = g_new0(waiting_t, 1);
-		waiting->since_ms = now_ms;
-		waiting->opening.packet.flow = packet->flow;
+		queued = g_new0(queued_opening_t, 1);
+		queued->enqueued_ms = now_ms;
+		queued->opening.packet.flow = packet->flow;
 		g_hash_table_insert(queue->by_flow,
-				    &waiting->opening.packet.flow, waiting);
-		dy_list_append(&queue->by_age, &waiting->link);
+				    &queued->opening.packet.flow, queued);
+		dy_list_append(&queue->by_age, &queued->link);
 	}
-	fill(&waiting->opening, forward, packet);
+	copy_opening(&queued->opening, forward, packet);
 	return 1;
 }
 
@@ -78,33 +80,35 @@
 	return g_hash_table_contains(queue->by_flow, flow);
 }
 
-static void take(dy_opening_queue_t *queue, waiting_t *waiting,
-		 dy_opening_t *opening)
+static void dequeue(dy_opening_queue_t *queue, queued_opening_t *queued,
+		    dy_opening_t *opening)
 {
-	fill(opening, &waiting->opening.forward, &waiting->opening.packet);
-	dy_list_remove(&waiting->link);
-	g_hash_table_remove(queue->by_flow, &waiting->opening.packet.flow);
+	copy_opening(opening, &queued->opening.forward,
+		     &queued->opening.packet);
+	dy_list_remove(&queued->link);
+	g_hash_table_remove(queue->by_flow, &queued->opening.packet.flow);
 }
 
 int dy_opening_queue_pop(dy_opening_queue_t *queue, dy_opening_t *opening)
 {
 	if (dy_list_empty(&queue->by_age))
 		return 0;
-	take(queue, DY_LIST_ITEM(queue->by_age.prev, waiting_t, link), opening);
+	dequeue(queue, DY_LIST_ITEM(queue->by_age.prev, queued_opening_t, link),
+		opening);
 	return 1;
 }
 
 int dy_opening_queue_pop_expired(dy_opening_queue_t *queue, uint64_t now_ms,
 				 dy_opening_t *opening)
 {
-	waiting_t *oldest;
+	queued_opening_t *oldest;
 
 	if (dy_list_empty(&queue->by_age))
 		return 0;
-	oldest = DY_LIST_ITEM(queue->by_age.next, waiting_t, link);
-	if (now_ms - oldest->since_ms < DY_OPENING_WAIT_MAX_MS)
+	oldest = DY_LIST_ITEM(queue->by_age.next, queued_opening_t, link);
+	if (now_ms - oldest->enqueued_ms < DY_OPENING_WAIT_MAX_MS)
 		return 0;
-	take(queue, oldest, opening);
+	dequeue(queue, oldest, opening);
 	return 1;
 }
 
