--- a/include/damaskyard/flow_router.h
+++ b/include/damaskyard/flow_router.h
@@ -2,17 +2,19 @@
 #define DAMASKYARD_FLOW_ROUTER_H
 
 /*
- * A balancer's decisions about packets of flows: where each goes. No network:
- * packets and agents' messages go in, forwards and resets come out.
+ * The balancer's routing of flow packets. This module does no I/O: it consumes
+ * callers' packets and agents' messages, and emits forwards and resets through
+ * callbacks.
  *
- * A flow's holder is remembered once its agent has told it. A packet of a
- * flow that is not known here, as after a restart of this balancer or a
- * change of the fabric's spraying, is sent along the agents that may hold it;
- * the one that does tells. Nothing is shared between balancers.
+ * The holder of a flow is the agent whose target has the flow. The router
+ * caches the holder once the agent has reported it. It sends a packet of an
+ * unknown flow, as after a restart of this balancer or a change of the fabric's
+ * packet spraying, along the agents that may hold the flow; the agent that does
+ * reports back. Balancers share no state.
  *
- * A flow whose agent is lost is reset at its next packet: the caller waits in
- * vain, and can open another now. If its requests may be repeated, that an
- * agent falls silent is enough.
+ * If the holder is lost, the router resets the flow at its next packet, so that
+ * the caller does not wait for a timeout and can open a new flow. If the flow's
+ * requests may be repeated, an unresponsive holder is enough for the reset.
  */
 
 #include <stdint.h>
@@ -23,71 +25,82 @@
 #include "damaskyard/packet.h"
 
 /*
- * How long the holder of a flow without packets is remembered, in ms. The
- * longest pause that a configuration allows is 15 s; a flow that outlives the
- * record is found again by asking.
+ * Idle timeout of a cached holder. The longest pause that a configuration
+ * allows is 15 s. A flow that outlives its entry is found again by a search.
  */
 #define DY_FLOW_IDLE_MS 30000
 
 /*
- * Flows remembered at most; the one idle longest makes room. At some 250 bytes
- * each these are 50 MB, where a balancer has 80; a flow that is not remembered
- * is found again by asking.
+ * Capacity of the cache in flows; the flow that was idle longest is evicted. At
+ * some 250 bytes per flow this is 50 MB of a balancer's 80 MB. An evicted flow
+ * is found again by a search.
  */
 #define DY_FLOWS_MAX 200000
 
 typedef struct dy_flow_router dy_flow_router_t;
 
 typedef struct dy_flow_router_callbacks {
-	/* Send forward to the agent at forward->tries[0]. */
+	/* Sends forward to the agent at forward->tries[0]. */
 	void (*forward)(void *context, dy_flow_forward_t *forward);
-	/* Reset a flow towards its caller. */
+	/* Sends a reset with this sequence number to the flow's caller. */
 	void (*reset)(void *context, const dy_flow_id_t *flow, uint32_t seq);
-	/* Have the members confirmed soon; see set_confirmed(). */
+	/*
+	 * Requests an early confirmation of the members; see
+	 * dy_flow_router_set_confirmed().
+	 */
 	void (*confirm_members)(void *context);
-	/* Ask the agent for a report. */
+	/* Requests a load report from the agent. */
 	void (*request_report)(void *context, const dy_address_t *agent);
 } dy_flow_router_callbacks_t;
 
 typedef struct dy_flow_router_config {
-	dy_address_t self; /* where agents answer */
+	dy_address_t self; /* this balancer, where agents reply to */
 	const char *domain;
 	dy_metrics_t *metrics;
 	const dy_flow_router_callbacks_t *callbacks;
 	void *context;
 } dy_flow_router_config_t;
 
-/* config is copied; what it points to must outlive the router. */
+/*
+ * Creates a router. config is copied; what it points to must outlive the
+ * router.
+ */
 dy_flow_router_t *dy_flow_router_create(const dy_flow_router_config_t *config);
+/* Frees router; NULL is allowed. */
 void dy_flow_router_destroy(dy_flow_router_t *router);
 
-/* Take over rules; an older version than the one held is dropped. */
+/*
+ * Replaces the rules and takes ownership of them. Rules of an older version
+ * than the current ones are freed and ignored.
+ */
 void dy_flow_router_set_rules(dy_flow_router_t *router, dy_flow_rules_t *rules);
 
+/* Adds or updates a member of the registry; only agents matter. */
 void dy_flow_router_set_member(dy_flow_router_t *router,
 			       const dy_member_t *member);
 
-/* Take that a failure domain was evacuated, or readmitted. */
+/* Sets whether a failure domain is evacuated. */
 void dy_flow_router_set_domain(dy_flow_router_t *router,
 			       const dy_domain_info_t *domain);
 
 /*
- * Say that the members were confirmed by a majority, in answer to a poll that
- * was sent at polled_ms.
+ * Records that a majority of controls confirmed the members in reply to a poll
+ * that was sent at polled_ms.
  *
- * A flow that no agent holds is reset only once a poll that was sent after the
- * search told of no change of members: an agent that had joined by then, and
- * got the flow by another balancer, would not have been asked. If there was a
- * change, the flow is searched for again with its next packet.
+ * A flow that no agent holds is reset only after such a poll, sent after the
+ * search, showed no change of the members. Otherwise an agent may have joined
+ * before the poll, received the flow through another balancer, and been left
+ * out of the search. If the members did change, the next packet of the flow
+ * starts a new search.
  */
 void dy_flow_router_set_confirmed(dy_flow_router_t *router, uint64_t polled_ms);
 
-/* Take a packet of a caller; bytes is what was decoded into packet. */
+/* Routes a packet of a caller; bytes is the encoded packet. */
 void dy_flow_router_receive_packet(dy_flow_router_t *router,
 				   const dy_packet_t *packet, uint8_t *bytes,
 				   size_t len, uint64_t now_ms);
 
-/* Take what agents say. packet is nowhere->packet, decoded. */
+/* Process agents' messages. packet is the decoded nowhere->packet. */
 void dy_flow_router_receive_held(dy_flow_router_t *router,
 				 const dy_flow_held_t *held, uint64_t now_ms);
 void dy_flow_router_receive_nowhere(dy_flow_router_t *router,
@@ -97,9 +110,10 @@
 				   const dy_flow_report_t *report,
 				   uint64_t now_ms);
 
-/* Forget flows that were idle for too long. Call it some times a second. */
+/* Expires idle flows. Call it several times per second. */
 void dy_flow_router_expire(dy_flow_router_t *router, uint64_t now_ms);
 
+/* Returns the number of cached flows. */
 unsigned dy_flow_router_count(const dy_flow_router_t *router);
 
 #endif
--- a/include/damaskyard/stale_flows.h
+++ b/include/damaskyard/stale_flows.h
@@ -2,12 +2,14 @@
 #define DAMASKYARD_STALE_FLOWS_H
 
 /*
- * Flows that were open at an earlier start of a target, by the lists of the
- * ledger (flow_ledger.h), and are to be reset. No network.
+ * Flows that were open at an earlier instance of the target and have to be
+ * reset. They come from the lists of the ledger (flow_ledger.h). This module
+ * does no I/O.
  *
- * Each is reset once. A list is taken only if its start of the target is over
- * for certain, and while it is believed: beyond that the caller's last
- * acknowledgement may be too far from the one that was listed.
+ * Each flow is reset once. A list is used only if its instance of the target
+ * has certainly ended, and only within the list's time to live: later, the
+ * caller's last acknowledgement may be too far from the listed one for a valid
+ * reset.
  */
 
 #include "damaskyard/flow_holder.h"
@@ -15,18 +17,28 @@
 
 typedef struct dy_stale_flows dy_stale_flows_t;
 
-/* holder must outlive them. */
+/* Creates an empty set of flows; holder must outlive it. */
 dy_stale_flows_t *dy_stale_flows_create(const dy_flow_holder_t *holder);
-void dy_stale_flows_destroy(dy_stale_flows_t *former);
+/* Frees stale; NULL is allowed. */
+void dy_stale_flows_destroy(dy_stale_flows_t *stale);
 
-/* Take a part of a list; time_ms is the time of day at this agent. */
-void dy_stale_flows_add_part(dy_stale_flows_t *former,
+/*
+ * Adds the flows of a part of a list, unless the list is expired or its
+ * instance may still run; part is copied. time_ms is the agent's time of day.
+ */
+void dy_stale_flows_add_part(dy_stale_flows_t *stale,
 			     const dy_ledger_part_t *part, uint64_t time_ms);
 
-/* Take out one that is to be reset. Returns 0 if there is none. */
-int dy_stale_flows_pop(dy_stale_flows_t *former, dy_ledger_flow_t *flow);
+/*
+ * Removes the next flow to reset and stores it in flow. Flows that are open
+ * again at the holder are skipped. Returns 0 if there is none.
+ */
+int dy_stale_flows_pop(dy_stale_flows_t *stale, dy_ledger_flow_t *flow);
 
-/* How many are to be reset. */
-unsigned dy_stale_flows_count(const dy_stale_flows_t *former);
+/*
+ * Returns the number of flows in the set, including those that
+ * dy_stale_flows_pop() will skip.
+ */
+unsigned dy_stale_flows_count(const dy_stale_flows_t *stale);
 
 #endif
--- a/src/connection/flow_ledger.c
+++ b/src/connection/flow_ledger.c
@@ -4,10 +4,10 @@
 
 #include "damaskyard/flow_holder.h"
 
-/* Bytes of a part with its names at most, encoded. */
-#define PART_BYTES 2048
+/* Maximum size of an encoded part with its names. */
+#define PART_MAX_BYTES 2048
 
-/* A list, whole or with parts still to come. */
+/* A list, complete or with parts missing. */
 typedef struct list {
 	char *target;
 	uint64_t born_ms;
@@ -15,19 +15,19 @@
 	uint32_t good_ms;
 	uint32_t number;
 	uint32_t parts;
-	uint64_t come; /* a bit for each part */
-	GArray *flows; /* of dy_ledger_flow_t */
+	uint64_t parts_received; /* one bit per part */
+	GArray *flows;		 /* of dy_ledger_flow_t */
 } list_t;
 
-typedef struct account {
+typedef struct agent_lists {
 	char *agent;
-	list_t *whole;
-	list_t *coming;
-} account_t;
+	list_t *complete;
+	list_t *incoming;
+} agent_lists_t;
 
 struct dy_flow_ledger {
-	GHashTable *accounts; /* by agent */
-	unsigned flows;	      /* in whole lists */
+	GHashTable *lists_by_agent; /* of agent_lists_t */
+	unsigned flows;		    /* in complete lists */
 };
 
 static void free_list(list_t *list)
@@ -39,14 +39,14 @@
 	g_free(list);
 }
 
-static void free_account(void *data)
+static void free_agent_lists(void *data)
 {
-	account_t *account = data;
+	agent_lists_t *lists = data;
 
-	free_list(account->whole);
-	free_list(account->coming);
-	g_free(account->agent);
-	g_free(account);
+	free_list(lists->complete);
+	free_list(lists->incoming);
+	g_free(lists->agent);
+	g_free(lists);
 }
 
 unsigned dy_flow_ledger_copies(unsigned losses, unsigned controls)
@@ -54,20 +54,20 @@
 	return MIN(MAX(losses, 1u) + 1, controls);
 }
 
-uint32_t dy_flow_ledger_ttl_ms(uint32_t pause_ms)
+uint32_t dy_flow_ledger_ttl_ms(uint32_t interval_ms)
 {
-	uint32_t most_ms = (DY_RESET_WINDOW_BYTES - DY_LOW_RATE_BURST_BYTES) /
-			   DY_LOW_RATE_BYTES_PER_S * 1000;
+	uint32_t max_ms = (DY_RESET_WINDOW_BYTES - DY_LOW_RATE_BURST_BYTES) /
+			  DY_LOW_RATE_BYTES_PER_S * 1000;
 
-	return MIN(DY_LEDGER_TTL_INTERVALS * pause_ms, most_ms);
+	return MIN(DY_LEDGER_TTL_INTERVALS * interval_ms, max_ms);
 }
 
 dy_flow_ledger_t *dy_flow_ledger_create(void)
 {
 	dy_flow_ledger_t *ledger = g_new0(dy_flow_ledger_t, 1);
 
-	ledger->accounts = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
-						 free_account);
+	ledger->lists_by_agent = g_hash_table_new_full(g_str_hash, g_str_equal,
+						       NULL, free_agent_lists);
 	return ledger;
 }
 
@@ -75,20 +75,22 @@
 {
 	if (!ledger)
 		return;
-	g_hash_table_destroy(ledger->accounts);
+	g_hash_table_destroy(ledger->lists_by_agent);
 	g_free(ledger);
 }
 
-static account_t *keep_account(dy_flow_ledger_t *ledger, const char *agent)
+static agent_lists_t *get_agent_lists(dy_flow_ledger_t *ledger,
+				      const char *agent)
 {
-	account_t *account = g_hash_table_lookup(ledger->accounts, agent);
+	agent_lists_t *lists =
+		g_hash_table_lookup(ledger->lists_by_agent, agent);
 
-	if (account)
-		return account;
-	account = g_new0(account_t, 1);
-	account->agent = g_strdup(agent);
-	g_hash_table_insert(ledger->accounts, account->agent, account);
-	return account;
+	if (lists)
+		return lists;
+	lists = g_new0(agent_lists_t, 1);
+	lists->agent = g_strdup(agent);
+	g_hash_table_insert(ledger->lists_by_agent, lists->agent, lists);
+	return lists;
 }
 
 static list_t *begin_list(const dy_ledger_part_t *part)
@@ -114,63 +116,63 @@
 
 static int is_complete(const list_t *list)
 {
-	return list->come == UINT64_MAX >> (64 - list->parts);
+	return list->parts_received == UINT64_MAX >> (64 - list->parts);
 }
 
-static unsigned flows_of(const list_t *list)
+static unsigned count_flows(const list_t *list)
 {
 	return list ? list->flows->len : 0;
 }
 
-/* Returns whether there was room. */
-static int replace_whole(dy_flow_ledger_t *ledger, account_t *account)
+/* Returns 0 if the list exceeds the capacity. */
+static int replace_complete(dy_flow_ledger_t *ledger, agent_lists_t *lists)
 {
-	unsigned flows = ledger->flows - flows_of(account->whole) +
-			 flows_of(account->coming);
+	unsigned flows = ledger->flows - count_flows(lists->complete) +
+			 count_flows(lists->incoming);
 
 	if (flows > DY_LEDGER_FLOWS_MAX) {
-		free_list(account->coming);
-		account->coming = NULL;
+		free_list(lists->incoming);
+		lists->incoming = NULL;
 		return 0;
 	}
 	ledger->flows = flows;
-	free_list(account->whole);
-	account->whole = account->coming;
-	account->coming = NULL;
+	free_list(lists->complete);
+	lists->complete = lists->incoming;
+	lists->incoming = NULL;
 	return 1;
 }
 
 int dy_flow_ledger_add_part(dy_flow_ledger_t *ledger,
 			    const dy_ledger_part_t *part)
 {
-	account_t *account;
+	agent_lists_t *lists;
 
 	if (part->parts < 1 || part->parts > DY_LEDGER_PARTS_MAX ||
 	    part->part >= part->parts)
 		return 0;
-	account = keep_account(ledger, part->agent);
-	if (!is_part_of(account->coming, part)) {
-		free_list(account->coming);
-		account->coming = begin_list(part);
+	lists = get_agent_lists(ledger, part->agent);
+	if (!is_part_of(lists->incoming, part)) {
+		free_list(lists->incoming);
+		lists->incoming = begin_list(part);
 	}
-	if (account->coming->come & 1ull << part->part)
+	if (lists->incoming->parts_received & 1ull << part->part)
 		return 0;
-	account->coming->come |= 1ull << part->part;
-	g_array_append_vals(account->coming->flows, part->flows.flows_val,
+	lists->incoming->parts_received |= 1ull << part->part;
+	g_array_append_vals(lists->incoming->flows, part->flows.flows_val,
 			    part->flows.flows_len);
-	return is_complete(account->coming) && replace_whole(ledger, account);
+	return is_complete(lists->incoming) && replace_complete(ledger, lists);
 }
 
-static unsigned each_part(const account_t *account, dy_flow_ledger_cb_t *each,
+static unsigned each_part(const agent_lists_t *lists, dy_flow_ledger_cb_t *each,
 			  void *context)
 {
-	const list_t *list = account->whole;
+	const list_t *list = lists->complete;
 	dy_ledger_part_t part = { 0 };
 	unsigned at = 0;
 
 	if (!list)
 		return 0;
-	part.agent = account->agent;
+	part.agent = lists->agent;
 	part.target = list->target;
 	part.born_ms = list->born_ms;
 	part.made_ms = list->made_ms;
@@ -193,22 +195,23 @@
 				  const char *agent, dy_flow_ledger_cb_t *each,
 				  void *context)
 {
-	const account_t *account = g_hash_table_lookup(ledger->accounts, agent);
+	const agent_lists_t *lists =
+		g_hash_table_lookup(ledger->lists_by_agent, agent);
 
-	return account ? each_part(account, each, context) : 0;
+	return lists ? each_part(lists, each, context) : 0;
 }
 
 static void append_part(void *context, dy_ledger_part_t *part)
 {
 	GByteArray *bytes = context;
-	char room[PART_BYTES];
+	char buf[PART_MAX_BYTES];
 	uint32_t len;
 	XDR xdr;
 
-	xdrmem_create(&xdr, room, sizeof(room), XDR_ENCODE);
+	xdrmem_create(&xdr, buf, sizeof(buf), XDR_ENCODE);
 	if (xdr_dy_ledger_part_t(&xdr, part)) {
 		len = xdr_getpos(&xdr);
-		g_byte_array_append(bytes, (uint8_t *)room, len);
+		g_byte_array_append(bytes, (uint8_t *)buf, len);
 	}
 	xdr_destroy(&xdr);
 }
@@ -216,11 +219,11 @@
 void dy_flow_ledger_write(const dy_flow_ledger_t *ledger, GByteArray *bytes)
 {
 	GHashTableIter iter;
-	gpointer account;
+	gpointer lists;
 
-	g_hash_table_iter_init(&iter, ledger->accounts);
-	while (g_hash_table_iter_next(&iter, NULL, &account))
-		each_part(account, append_part, bytes);
+	g_hash_table_iter_init(&iter, ledger->lists_by_agent);
+	while (g_hash_table_iter_next(&iter, NULL, &lists))
+		each_part(lists, append_part, bytes);
 }
 
 void dy_flow_ledger_load(dy_flow_ledger_t *ledger, const uint8_t *bytes,
--- a/src/connection/flow_router.c
+++ b/src/connection/flow_router.c
@@ -9,27 +9,27 @@
 #include "damaskyard/log.h"
 #include "damaskyard/search_limit.h"
 
-/* What a balancer remembers of a flow. */
+/* A cached flow. */
 typedef struct flow {
-	dy_list_t link; /* ordered by used_ms */
+	dy_list_t link; /* in by_use, ordered by used_ms */
 	dy_flow_id_t id;
-	dy_address_t agent; /* port 0: not known */
-	int told;	    /* the agent said that it holds the flow */
-	int open;	    /* and that its target has the whole handshake */
+	dy_address_t agent;  /* port 0: unknown */
+	int holder_reported; /* the agent reported that it holds the flow */
+	int open;	     /* the agent reported the complete handshake */
 	uint64_t used_ms;
 	dy_search_slot_t search;
-	dy_list_t missing_link; /* found nowhere, to be confirmed */
-	uint64_t missing_ms;	/* since when */
-	uint32_t missing_order; /* of the search that found it nowhere */
-	unsigned searches;	/* since it was last found */
-	dy_packet_t missing;	/* the packet that was searched for */
+	dy_list_t not_found_link;     /* in the router's list of such flows */
+	uint64_t not_found_ms;	      /* when a search found no holder */
+	uint32_t not_found_order;     /* order of that search */
+	unsigned searches;	      /* since the holder was last found */
+	dy_packet_t not_found_packet; /* the packet of that search */
 } flow_t;
 
-/* How far a search for a flow's holder is. */
-typedef struct search {
+/* Progress of a search for a flow's holder. */
+typedef struct search_progress {
 	unsigned window;
-	int certain; /* all that were asked so far knew for sure */
-} search_t;
+	int certain; /* all agents asked so far were certain */
+} search_progress_t;
 
 struct dy_flow_router {
 	dy_flow_router_config_t config;
@@ -37,9 +37,9 @@
 	dy_flow_rules_t *rules;
 	GHashTable *flows;
 	dy_list_t by_use;
-	dy_list_t missing;
+	dy_list_t not_found;
 	dy_search_limit_t searches;
-	/* Of members and rules, so of the order of every search; never 0. */
+	/* Version of the search order (of members and rules); never 0. */
 	uint32_t order;
 	dy_log_limit_t assigned_limit;
 	dy_log_limit_t reset_limit;
@@ -51,7 +51,7 @@
 	uint64_t *resets;
 	uint64_t *refused;
 	uint64_t *no_entry;
-	uint64_t *lost;
+	uint64_t *unplaced;
 	uint64_t *second_chances;
 	uint64_t *relayed;
 	dy_log_limit_t path_limit;
@@ -67,7 +67,7 @@
 		{ "flows_reset", &router->resets },
 		{ "openings_refused", &router->refused },
 		{ "packets_no_entry", &router->no_entry },
-		{ "packets_unplaced", &router->lost },
+		{ "packets_unplaced", &router->unplaced },
 		{ "openings_second_chance", &router->second_chances },
 		{ "packets_relayed", &router->relayed },
 	};
@@ -87,7 +87,7 @@
 		dy_flow_id_table_hash, dy_flow_id_table_equal, NULL, g_free);
 	router->order = 1;
 	dy_list_init(&router->by_use);
-	dy_list_init(&router->missing);
+	dy_list_init(&router->not_found);
 	dy_search_limit_init(&router->searches);
 	router->assigned_limit = limit;
 	router->reset_limit = limit;
@@ -107,7 +107,7 @@
 	g_free(router);
 }
 
-static void change_order(dy_flow_router_t *router)
+static void advance_order(dy_flow_router_t *router)
 {
 	if (!++router->order)
 		++router->order;
@@ -122,14 +122,14 @@
 	}
 	dy_flow_rules_destroy(router->rules);
 	router->rules = rules;
-	change_order(router);
+	advance_order(router);
 }
 
 void dy_flow_router_set_member(dy_flow_router_t *router,
 			       const dy_member_t *member)
 {
 	if (member->info.kind == DY_MEMBER_AGENT)
-		change_order(router);
+		advance_order(router);
 	dy_flow_targets_set_member(router->targets, member);
 }
 
@@ -150,13 +150,13 @@
 static void drop_flow(dy_flow_router_t *router, flow_t *flow)
 {
 	dy_list_remove(&flow->link);
-	dy_list_remove(&flow->missing_link);
+	dy_list_remove(&flow->not_found_link);
 	dy_search_limit_end(&router->searches, &flow->search);
 	g_hash_table_remove(router->flows, &flow->id);
 }
 
-static flow_t *keep_flow(dy_flow_router_t *router, const dy_flow_id_t *id,
-			 uint64_t now_ms)
+static flow_t *get_flow(dy_flow_router_t *router, const dy_flow_id_t *id,
+			uint64_t now_ms)
 {
 	flow_t *flow = g_hash_table_lookup(router->flows, id);
 
@@ -167,7 +167,7 @@
 		flow = g_new0(flow_t, 1);
 		flow->id = *id;
 		dy_list_init(&flow->link);
-		dy_list_init(&flow->missing_link);
+		dy_list_init(&flow->not_found_link);
 		dy_search_slot_init(&flow->search);
 		g_hash_table_insert(router->flows, &flow->id, flow);
 	}
@@ -180,7 +180,7 @@
 {
 	char text[DY_FLOW_TEXT_BYTES];
 
-	/* The caller has given the flow up itself. */
+	/* The caller has reset the flow itself. */
 	if (packet->flags & DY_PACKET_RST)
 		return;
 	++*router->resets;
@@ -200,21 +200,21 @@
 	flow_t *flow;
 
 	dy_flow_targets_set_confirmed(router->targets, polled_ms);
-	DY_LIST_EACH_SAFE(pos, tmp, &router->missing)
+	DY_LIST_EACH_SAFE(pos, tmp, &router->not_found)
 	{
-		flow = DY_LIST_ITEM(pos, flow_t, missing_link);
-		if (polled_ms <= flow->missing_ms)
+		flow = DY_LIST_ITEM(pos, flow_t, not_found_link);
+		if (polled_ms <= flow->not_found_ms)
 			continue;
-		dy_list_remove(&flow->missing_link);
-		if (flow->missing_order != router->order)
+		dy_list_remove(&flow->not_found_link);
+		if (flow->not_found_order != router->order)
 			continue;
-		reset(router, &flow->missing, "nowhere", polled_ms);
+		reset(router, &flow->not_found_packet, "nowhere", polled_ms);
 		drop_flow(router, flow);
 	}
 }
 
-static void emit(dy_flow_router_t *router, dy_flow_forward_t *forward,
-		 uint8_t *bytes, size_t len, uint64_t now_ms)
+static void send_forward(dy_flow_router_t *router, dy_flow_forward_t *forward,
+			 uint8_t *bytes, size_t len, uint64_t now_ms)
 {
 	dy_flow_targets_note_sent(router->targets, &forward->tries.tries_val[0],
 				  now_ms);
@@ -227,8 +227,8 @@
 	router->config.callbacks->forward(router->config.context, forward);
 }
 
-static void ask(dy_flow_router_t *router, const dy_address_t *agent,
-		uint64_t now_ms)
+static void request_report(dy_flow_router_t *router, const dy_address_t *agent,
+			   uint64_t now_ms)
 {
 	if (dy_flow_targets_begin_probe(router->targets, agent, now_ms))
 		router->config.callbacks->request_report(router->config.context,
@@ -236,22 +236,23 @@
 }
 
 /*
- * The agents that a packet goes along to its holder: that one alone, or a
- * relay before it while the path to it is broken. It is asked straight
- * meanwhile, so that its reports tell when the path is whole again.
+ * Fills path with the agents that a packet takes to the holder: the holder
+ * alone, or a relay before it while the direct path is broken. Meanwhile the
+ * holder gets direct report requests, so that its reports show when the path
+ * works again.
  */
-static unsigned find_way(dy_flow_router_t *router, const flow_t *flow,
-			 uint64_t now_ms, dy_address_t way[2])
+static unsigned find_path(dy_flow_router_t *router, const flow_t *flow,
+			  uint64_t now_ms, dy_address_t path[2])
 {
 	if (!dy_flow_targets_is_path_broken(router->targets, &flow->agent) ||
 	    !dy_flow_targets_find_relay(router->targets, &flow->agent,
-					&flow->id, now_ms, &way[0])) {
-		way[0] = flow->agent;
+					&flow->id, now_ms, &path[0])) {
+		path[0] = flow->agent;
 		return 1;
 	}
-	ask(router, &flow->agent, now_ms);
+	request_report(router, &flow->agent, now_ms);
 	++*router->relayed;
-	way[1] = flow->agent;
+	path[1] = flow->agent;
 	return 2;
 }
 
@@ -260,14 +261,14 @@
 			   uint64_t now_ms)
 {
 	dy_flow_forward_t forward = { 0 };
-	dy_address_t way[2];
+	dy_address_t path[2];
 
 	forward.service = (char *)service;
 	forward.tell = !flow->open;
-	forward.tries.tries_val = way;
-	forward.tries.tries_len = find_way(router, flow, now_ms, way);
+	forward.tries.tries_val = path;
+	forward.tries.tries_len = find_path(router, flow, now_ms, path);
 	forward.certain = forward.tries.tries_len == 1;
-	emit(router, &forward, bytes, len, now_ms);
+	send_forward(router, &forward, bytes, len, now_ms);
 }
 
 static const dy_flow_entry_t *find_entry(const dy_flow_router_t *router,
@@ -280,13 +281,15 @@
 }
 
 /*
- * The service of a new flow and its agents, best first: the service that the
- * flow's draw gives, or the entry's next one where that has no target.
+ * Chooses the service of a new flow and lists its agents, best first. The
+ * service is the one that the flow's hash selects, or the entry's next one with
+ * a target.
  */
-static unsigned choose(const dy_flow_router_t *router,
-		       const dy_flow_entry_t *entry, const dy_flow_id_t *flow,
-		       uint64_t now_ms, const char **service,
-		       dy_address_t list[DY_FLOW_TRIES])
+static unsigned choose_agents(const dy_flow_router_t *router,
+			      const dy_flow_entry_t *entry,
+			      const dy_flow_id_t *flow, uint64_t now_ms,
+			      const char **service,
+			      dy_address_t list[DY_FLOW_TRIES])
 {
 	uint8_t order[DY_FLOW_SHARES_MAX];
 	const dy_flow_share_t *share;
@@ -306,8 +309,8 @@
 }
 
 static void log_assigned(dy_flow_router_t *router, const flow_t *flow,
-			 const char *service, unsigned choices, unsigned copy,
-			 uint64_t now_ms)
+			 const char *service, unsigned candidates,
+			 unsigned retransmits, uint64_t now_ms)
 {
 	char text[DY_FLOW_TEXT_BYTES];
 	char agent[DY_ADDRESS_TEXT_BYTES];
@@ -318,18 +321,19 @@
 		     "flow=%s service=%s agent=%s choices=%u copy=%u "
 		     "version=%lu",
 		     dy_flow_id_format(&flow->id, text), service,
-		     dy_address_format(&flow->agent, agent), choices, copy,
+		     dy_address_format(&flow->agent, agent), candidates,
+		     retransmits,
 		     (unsigned long)dy_flow_rules_version(router->rules));
 }
 
 /*
- * A copy of an opening packet that went to an agent which did not answer is a
- * second chance: that agent may be gone, so the flow goes to another. Should
- * both answer, the caller acknowledges one, and the agents tell by that whose
- * the flow is.
+ * A retransmitted SYN whose first agent did not report back gets a second
+ * chance with another agent, because the first one may be gone. If both targets
+ * respond, the caller acknowledges one of them, which tells the agents who has
+ * the flow.
  */
-static void note_unanswered(dy_flow_router_t *router, const flow_t *flow,
-			    uint64_t now_ms)
+static void handle_unanswered_opening(dy_flow_router_t *router,
+				      const flow_t *flow, uint64_t now_ms)
 {
 	if (!flow || !flow->agent.port)
 		return;
@@ -338,24 +342,27 @@
 }
 
 /*
- * Load pattern: all targets have all that they can do, and hundreds of openings
- * come within a moment.
- * What happens without it: they wait at the last choice, which is the fullest
- * target and the same for all flows, until they are refused, while the slots
- * of others become free.
- * What is done: the best choice stands in the list once more, at its end, and
- * they wait there: balancers count what they opened, so each choice is another.
+ * Appends the best candidate once more at the end of the list, where openings
+ * wait.
+ *
+ * Load pattern: all targets are at capacity, and hundreds of openings arrive at
+ * the same time.
+ * Without it: openings wait at their last candidate. That is the fullest
+ * target, the same one for all flows, and they wait there until they are
+ * refused while slots become free at other targets.
+ * Mechanism: the best candidate is also the last one. Balancers count the flows
+ * that they opened, so this candidate varies between openings.
  */
-static unsigned add_place_to_wait(dy_address_t list[DY_FLOW_TRIES],
-				  unsigned count)
+static unsigned append_best_candidate(dy_address_t list[DY_FLOW_TRIES],
+				      unsigned count)
 {
 	if (count > 1 && count < DY_FLOW_TRIES)
 		list[count++] = list[0];
 	return count;
 }
 
-static void take_opening(dy_flow_router_t *router, const dy_packet_t *packet,
-			 uint8_t *bytes, size_t len, uint64_t now_ms)
+static void route_opening(dy_flow_router_t *router, const dy_packet_t *packet,
+			  uint8_t *bytes, size_t len, uint64_t now_ms)
 {
 	const dy_flow_entry_t *entry = find_entry(router, &packet->flow);
 	flow_t *flow = g_hash_table_lookup(router->flows, &packet->flow);
@@ -369,20 +376,21 @@
 		reset(router, packet, "no_entry", now_ms);
 		return;
 	}
-	if (flow && flow->told) {
+	if (flow && flow->holder_reported) {
 		touch(router, flow, now_ms);
 		send_to_holder(router, flow, "", bytes, len, now_ms);
 		return;
 	}
-	note_unanswered(router, flow, now_ms);
-	count = choose(router, entry, &packet->flow, now_ms, &service, list);
+	handle_unanswered_opening(router, flow, now_ms);
+	count = choose_agents(router, entry, &packet->flow, now_ms, &service,
+			      list);
 	if (!count) {
 		++*router->refused;
 		reset(router, packet, "no_target", now_ms);
 		return;
 	}
 	++*router->opened;
-	flow = keep_flow(router, &packet->flow, now_ms);
+	flow = get_flow(router, &packet->flow, now_ms);
 	flow->agent = list[0];
 	dy_flow_targets_note_opened(router->targets, &list[0]);
 	log_assigned(router, flow, service, count, packet->retransmits, now_ms);
@@ -393,16 +401,16 @@
 	forward.certain = 1;
 	forward.complete = 1;
 	forward.tries.tries_val = list;
-	forward.tries.tries_len = add_place_to_wait(list, count);
-	emit(router, &forward, bytes, len, now_ms);
+	forward.tries.tries_len = append_best_candidate(list, count);
+	send_forward(router, &forward, bytes, len, now_ms);
 }
 
 /*
- * Guards against an agent that is gone and not known to be: a search ends at
- * it, and a retransmission would end there again. Each further search of a
- * flow begins further down, every second one goes backwards.
+ * Guards against an agent that is gone without being known as lost: a search
+ * ends there, and so would the search of a retransmission. Further searches of
+ * a flow start further down the list, and every second one runs backwards.
  */
-static void turn_list(dy_address_t *list, unsigned count, unsigned searches)
+static void permute_list(dy_address_t *list, unsigned count, unsigned searches)
 {
 	dy_address_t copy[DY_FLOW_TRIES];
 	unsigned i;
@@ -415,7 +423,10 @@
 				  : copy[(i + searches / 2) % count];
 }
 
-/* The request's id, if one begins here, is what on-call starts from. */
+/*
+ * Logs a search, with the id of the request that starts in the packet, if any:
+ * operators look up a request by this id.
+ */
 static void log_searched(dy_flow_router_t *router, const dy_packet_t *packet,
 			 unsigned agents, unsigned before, uint64_t now_ms)
 {
@@ -434,12 +445,13 @@
 }
 
 /*
- * Move the agents of a window, counted from 1, to the front of the list, the
- * lost ones left out: a search that is sent to one ends there. Goes on to the
- * next window if none is left. Returns how many.
+ * Moves the agents of a window, counted from 1, to the front of the list and
+ * skips lost agents, at which a search would end. Advances to the next window
+ * if none is left. Returns the number of agents.
  */
-static unsigned take_window(const dy_flow_router_t *router, dy_address_t *list,
-			    unsigned total, unsigned *window, uint64_t now_ms)
+static unsigned select_window(const dy_flow_router_t *router,
+			      dy_address_t *list, unsigned total,
+			      unsigned *window, uint64_t now_ms)
 {
 	unsigned count = 0;
 	unsigned i;
@@ -458,19 +470,19 @@
 }
 
 /*
- * Send a packet along the agents that may hold its flow: those of one window,
- * counted from 1, of the order in which they are asked.
+ * Sends a packet along the agents that may hold its flow: those of one window,
+ * counted from 1, of the search order.
  */
 static void search(dy_flow_router_t *router, const dy_packet_t *packet,
-		   uint8_t *bytes, size_t len, const search_t *at,
-		   uint64_t now_ms)
+		   uint8_t *bytes, size_t len,
+		   const search_progress_t *progress, uint64_t now_ms)
 {
 	const dy_flow_entry_t *entry = find_entry(router, &packet->flow);
 	const char *services[DY_FLOW_SHARES_MAX];
 	dy_address_t list[DY_FLOW_SEARCH_MAX];
 	uint8_t order[DY_FLOW_SHARES_MAX];
 	dy_flow_forward_t forward = { 0 };
-	unsigned window = at->window;
+	unsigned window = progress->window;
 	int complete = 0;
 	flow_t *flow;
 	unsigned total;
@@ -487,46 +499,46 @@
 	total = dy_flow_targets_search(router->targets, services,
 				       entry->share_count, &packet->flow,
 				       &complete, list);
-	count = take_window(router, list, total, &window, now_ms);
+	count = select_window(router, list, total, &window, now_ms);
 	if (!count) {
-		++*router->lost;
+		++*router->unplaced;
 		return;
 	}
-	flow = keep_flow(router, &packet->flow, now_ms);
-	/* One that has begun goes on, so that slow ones come to their end. */
-	if (at->window == 1 &&
+	flow = get_flow(router, &packet->flow, now_ms);
+	/* A search that has started continues, so that slow ones complete. */
+	if (progress->window == 1 &&
 	    !dy_search_limit_begin(&router->searches, &flow->search, now_ms)) {
 		++*router->deferred;
 		return;
 	}
 	++*router->searched;
-	if (at->window == 1) {
+	if (progress->window == 1) {
 		log_searched(router, packet, total, flow->searches, now_ms);
-		turn_list(list, count, flow->searches++);
+		permute_list(list, count, flow->searches++);
 	}
 	forward.tell = 1;
 	forward.window = window;
 	forward.complete = complete && window * DY_FLOW_TRIES >= total;
-	forward.certain = at->certain;
+	forward.certain = progress->certain;
 	forward.tries.tries_val = list;
 	forward.tries.tries_len = count;
-	emit(router, &forward, bytes, len, now_ms);
+	send_forward(router, &forward, bytes, len, now_ms);
 }
 
-static const search_t from_the_first = { 1, 1 };
+static const search_progress_t search_start = { 1, 1 };
 
 /*
- * Whether a flow's holder is unresponsive, and its caller is better off
+ * Returns whether a flow's holder is unresponsive and its caller should go
  * elsewhere.
  *
- * Load pattern: the VMs of some agents stand still, or lose their power, under
- * long flows with a request each second.
- * What happens without it: each request on such a flow waits for its whole
- * deadline, until the agent's lease has run out.
- * What is done: callers of requests that may be repeated are told at once that
- * the flow is over, and repeat them elsewhere. A reset would lose a request
- * that may run once only; it waits for the holder's return until that is lost
- * too. The agent is asked for a sign of life instead.
+ * Load pattern: the VMs of some agents are paused or lose power, with long
+ * flows that carry one request per second.
+ * Without it: each request on such a flow waits for its whole deadline, until
+ * the agent's lease expires.
+ * Mechanism: a flow whose requests may be repeated is reset at once, and its
+ * caller repeats them elsewhere. A reset would lose a request that must not run
+ * twice, so such a flow waits until the holder returns or is lost. The agent is
+ * asked for a report meanwhile.
  */
 static int holder_is_unresponsive(dy_flow_router_t *router, const flow_t *flow,
 				  uint64_t now_ms)
@@ -537,7 +549,7 @@
 	    !dy_flow_targets_is_unresponsive(router->targets, &flow->agent,
 					     now_ms))
 		return 0;
-	ask(router, &flow->agent, now_ms);
+	request_report(router, &flow->agent, now_ms);
 	return 1;
 }
 
@@ -550,20 +562,20 @@
 }
 
 /*
- * The agent that a flow was sent to is lost. Guards against a flow that another
- * balancer's copy of the opening took elsewhere: only of one that the agent had
- * open is it known that it went with it.
+ * Handles a packet whose cached agent is lost. Guards against a flow that
+ * another balancer opened elsewhere with a retransmitted SYN: only a flow that
+ * was open at the lost agent is certainly lost with it.
  */
-static void leave_lost_agent(dy_flow_router_t *router, flow_t *flow,
-			     const dy_packet_t *packet, uint8_t *bytes,
-			     size_t len, uint64_t now_ms)
+static void handle_lost_agent(dy_flow_router_t *router, flow_t *flow,
+			      const dy_packet_t *packet, uint8_t *bytes,
+			      size_t len, uint64_t now_ms)
 {
 	if (flow->open) {
 		end_flow(router, flow, packet, "agent_lost", now_ms);
 		return;
 	}
 	drop_flow(router, flow);
-	search(router, packet, bytes, len, &from_the_first, now_ms);
+	search(router, packet, bytes, len, &search_start, now_ms);
 }
 
 void dy_flow_router_receive_packet(dy_flow_router_t *router,
@@ -574,17 +586,17 @@
 
 	++*router->packets;
 	if (packet->flags & DY_PACKET_SYN) {
-		take_opening(router, packet, bytes, len, now_ms);
+		route_opening(router, packet, bytes, len, now_ms);
 		return;
 	}
 	flow = g_hash_table_lookup(router->flows, &packet->flow);
 	if (!flow || !flow->agent.port) {
-		search(router, packet, bytes, len, &from_the_first, now_ms);
+		search(router, packet, bytes, len, &search_start, now_ms);
 		return;
 	}
 	touch(router, flow, now_ms);
 	if (dy_flow_targets_is_lost(router->targets, &flow->agent, now_ms)) {
-		leave_lost_agent(router, flow, packet, bytes, len, now_ms);
+		handle_lost_agent(router, flow, packet, bytes, len, now_ms);
 		return;
 	}
 	if (flow->open && holder_is_unresponsive(router, flow, now_ms))
@@ -596,51 +608,52 @@
 void dy_flow_router_receive_held(dy_flow_router_t *router,
 				 const dy_flow_held_t *held, uint64_t now_ms)
 {
-	flow_t *flow = keep_flow(router, &held->flow, now_ms);
+	flow_t *flow = get_flow(router, &held->flow, now_ms);
 
 	dy_flow_targets_set_load(router->targets, &held->agent, &held->load,
 				 now_ms);
-	/* One that only half holds it does not speak against one that does. */
+	/* A half-open holder does not replace an open one. */
 	if (flow->open && !held->open &&
 	    !dy_address_equal(&flow->agent, &held->agent))
 		return;
 	flow->agent = held->agent;
-	flow->told = 1;
+	flow->holder_reported = 1;
 	flow->open = held->open;
 	flow->searches = 0;
-	dy_list_remove(&flow->missing_link);
+	dy_list_remove(&flow->not_found_link);
 	dy_search_limit_end(&router->searches, &flow->search);
 }
 
 /*
- * Whether a flow certainly is over: the agent that had it open lost it.
+ * Returns whether a flow is certainly over: the agent that had it open lost it.
  */
-static int is_over(const flow_t *flow, const dy_flow_nowhere_t *nowhere)
+static int is_flow_lost(const flow_t *flow, const dy_flow_nowhere_t *nowhere)
 {
 	return nowhere->certain && flow->open &&
 	       dy_address_equal(&flow->agent, &nowhere->agent);
 }
 
-/* No agent that is known here holds the flow: have that confirmed. */
-static void note_missing(dy_flow_router_t *router, flow_t *flow,
-			 const dy_flow_nowhere_t *nowhere,
-			 const dy_packet_t *packet, uint64_t now_ms)
+/* Waits for a confirmation of the members: no known agent holds the flow. */
+static void await_confirmation(dy_flow_router_t *router, flow_t *flow,
+			       const dy_flow_nowhere_t *nowhere,
+			       const dy_packet_t *packet, uint64_t now_ms)
 {
-	flow->missing_ms = now_ms;
-	flow->missing_order = nowhere->order;
-	flow->missing = *packet;
-	flow->missing.request_id = NULL; /* bytes that do not last */
-	dy_list_remove(&flow->missing_link);
-	dy_list_append(&router->missing, &flow->missing_link);
+	flow->not_found_ms = now_ms;
+	flow->not_found_order = nowhere->order;
+	flow->not_found_packet = *packet;
+	/* The id points into a packet that is not kept. */
+	flow->not_found_packet.request_id = NULL;
+	dy_list_remove(&flow->not_found_link);
+	dy_list_append(&router->not_found, &flow->not_found_link);
 	router->config.callbacks->confirm_members(router->config.context);
 }
 
-static void take_refusal(dy_flow_router_t *router, flow_t *flow,
-			 const dy_flow_nowhere_t *nowhere,
-			 const dy_packet_t *packet, uint64_t now_ms)
+static void handle_refusal(dy_flow_router_t *router, flow_t *flow,
+			   const dy_flow_nowhere_t *nowhere,
+			   const dy_packet_t *packet, uint64_t now_ms)
 {
-	/* Another copy of the opening packet may have found a place. */
-	if (flow && flow->told &&
+	/* Another transmission of the SYN may have been admitted elsewhere. */
+	if (flow && flow->holder_reported &&
 	    !dy_address_equal(&flow->agent, &nowhere->agent))
 		return;
 	++*router->refused;
@@ -654,27 +667,27 @@
 				    const dy_packet_t *packet, uint64_t now_ms)
 {
 	flow_t *flow = g_hash_table_lookup(router->flows, &nowhere->flow);
-	search_t next;
+	search_progress_t next;
 
 	if (nowhere->reason == DY_FLOW_REFUSED) {
-		take_refusal(router, flow, nowhere, packet, now_ms);
+		handle_refusal(router, flow, nowhere, packet, now_ms);
 		return;
 	}
 	if (!flow)
-		flow = keep_flow(router, &nowhere->flow, now_ms);
-	if (is_over(flow, nowhere)) {
+		flow = get_flow(router, &nowhere->flow, now_ms);
+	if (is_flow_lost(flow, nowhere)) {
 		end_flow(router, flow, packet, "lost_by_holder", now_ms);
 		return;
 	}
-	/* The one that was thought to hold it does not: ask the others. */
+	/* The cached holder does not hold the flow: search among the others. */
 	if (flow->agent.port &&
 	    dy_address_equal(&flow->agent, &nowhere->agent)) {
 		memset(&flow->agent, 0, sizeof(flow->agent));
-		flow->told = 0;
+		flow->holder_reported = 0;
 		flow->open = 0;
 	}
-	/* Another search of it has found who does. */
-	if (flow->told) {
+	/* Another search of the flow has found the holder. */
+	if (flow->holder_reported) {
 		send_to_holder(router, flow, "",
 			       (uint8_t *)nowhere->packet.packet_val,
 			       nowhere->packet.packet_len, now_ms);
@@ -682,16 +695,17 @@
 	}
 	if (nowhere->complete) {
 		dy_search_limit_end(&router->searches, &flow->search);
-		++*router->lost;
+		++*router->unplaced;
 		if (nowhere->certain && nowhere->order)
-			note_missing(router, flow, nowhere, packet, now_ms);
+			await_confirmation(router, flow, nowhere, packet,
+					   now_ms);
 		return;
 	}
 	next.window = nowhere->window + 1;
 	next.certain = nowhere->certain && nowhere->order;
-	/* Another order now: those of the windows asked would be missed. */
+	/* The order has changed; the next window would leave agents out. */
 	if (nowhere->order && nowhere->order != router->order)
-		next = from_the_first;
+		next = search_start;
 	search(router, packet, (uint8_t *)nowhere->packet.packet_val,
 	       nowhere->packet.packet_len, &next, now_ms);
 }
--- a/src/connection/search_limit.c
+++ b/src/connection/search_limit.c
@@ -12,7 +12,7 @@
 	slot->started_ms = 0;
 }
 
-static void drop_unanswered(dy_search_limit_t *limit, uint64_t now_ms)
+static void expire_searches(dy_search_limit_t *limit, uint64_t now_ms)
 {
 	dy_search_slot_t *slot;
 
@@ -27,7 +27,7 @@
 int dy_search_limit_begin(dy_search_limit_t *limit, dy_search_slot_t *slot,
 			  uint64_t now_ms)
 {
-	drop_unanswered(limit, now_ms);
+	expire_searches(limit, now_ms);
 	if (!dy_list_empty(&slot->link))
 		return 1;
 	if (limit->count >= DY_SEARCHES_MAX)
