--- a/include/damaskyard/packet.h
+++ b/include/damaskyard/packet.h
@@ -2,35 +2,35 @@
 #define DAMASKYARD_PACKET_H
 
 /*
- * A packet of a flow, decoded: its head, in host byte order. The bytes of the
- * packet travel beside it unchanged.
+ * The decoded header of a flow's packet, in host byte order. The encoded packet
+ * is passed along with it unchanged.
  */
 
 #include <stdint.h>
 
 #include "dy_flow.h"
 
-/* Marks of a packet. */
+/* Packet flags. */
 #define DY_PACKET_SYN 1u      /* opens a flow */
 #define DY_PACKET_ACK 2u      /* ack is valid */
-#define DY_PACKET_FIN 4u      /* its sender sends no more */
+#define DY_PACKET_FIN 4u      /* the sender sends no more data */
 #define DY_PACKET_RST 8u      /* the flow is over */
-#define DY_PACKET_BOUNCED 16u /* a target gave it back */
+#define DY_PACKET_BOUNCED 16u /* a target returned the packet */
 
 typedef struct dy_packet {
 	dy_flow_id_t flow;
 	unsigned flags;
 	/*
-	 * A number of our own, that a target returns in a packet that it gives
-	 * back. Callers and targets leave it 0.
+	 * An opaque value that a target echoes in a packet that it bounces.
+	 * Callers and targets set it to 0.
 	 */
 	uint32_t tag;
 	uint16_t data_bytes;
-	unsigned retransmits; /* of an opening: how often it was sent before */
+	unsigned retransmits; /* of a SYN: number of earlier transmissions */
 	/*
-	 * The id of the request that begins in the data, for logs alone: bytes
-	 * of the packet, not ended by a NUL. NULL: none was looked for, or
-	 * found.
+	 * Id of the request that starts in the data, for logging only. It
+	 * points into the encoded packet and is not NUL-terminated. NULL if no
+	 * id was found or searched for.
 	 */
 	const char *request_id;
 	unsigned request_id_len;
@@ -38,7 +38,7 @@
 	uint32_t ack;
 } dy_packet_t;
 
-/* Whether both name one flow. */
+/* Returns whether both ids name the same flow. */
 static inline int dy_flow_id_equal(const dy_flow_id_t *a, const dy_flow_id_t *b)
 {
 	return a->caller_ip == b->caller_ip && a->entry_ip == b->entry_ip &&
@@ -46,17 +46,17 @@
 	       a->entry_port == b->entry_port;
 }
 
-/* Hash of a flow's name, the same in every process. */
+/* Returns a hash of the flow id that is the same in every process. */
 uint64_t dy_flow_id_hash(const dy_flow_id_t *flow);
 
-/* For GHashTable. */
+/* Hash and equality functions for a GHashTable keyed by dy_flow_id_t. */
 unsigned dy_flow_id_table_hash(const void *flow);
 int dy_flow_id_table_equal(const void *a, const void *b);
 
-/* Bytes of "IP:PORT>IP:PORT" with its terminating NUL. */
+/* Size of "IP:PORT>IP:PORT" with its terminating NUL. */
 #define DY_FLOW_TEXT_BYTES 48
 
-/* Write the flow's name into text, which is returned. */
+/* Formats the flow id into text and returns text. */
 const char *dy_flow_id_format(const dy_flow_id_t *flow,
 			      char text[DY_FLOW_TEXT_BYTES]);
 
--- a/src/connection/session.c
+++ b/src/connection/session.c
@@ -11,7 +11,7 @@
 
 struct dy_sessions {
 	GHashTable *by_id;
-	dy_list_t recent; /* longest unused first */
+	dy_list_t lru; /* least recently used first */
 	unsigned cap;
 	uint64_t idle_ms;
 	uint64_t seed;
@@ -32,7 +32,7 @@
 
 	sessions->by_id = g_hash_table_new_full(g_int64_hash, g_int64_equal,
 						NULL, free_session);
-	dy_list_init(&sessions->recent);
+	dy_list_init(&sessions->lru);
 	sessions->seed = seed;
 	dy_sessions_set_limits(sessions, cap, idle_ms);
 	return sessions;
@@ -70,8 +70,8 @@
 }
 
 /*
- * The first word of an AUTH_SYS body is a stamp that differs from one client
- * object to the next; machine, user and groups follow.
+ * The first word of an AUTH_SYS body is a stamp that differs between RPC
+ * handles of one caller. The host name, user and groups follow it.
  */
 uint64_t dy_sessions_caller_hash(const dy_sessions_t *sessions,
 				 const dy_address_t *address,
@@ -98,24 +98,25 @@
 	session->credential = g_memdup2(credential, len);
 	session->credential_len = (uint16_t)len;
 	dy_list_init(&session->calls);
-	dy_list_append(&sessions->recent, &session->lru_link);
+	dy_list_append(&sessions->lru, &session->lru_link);
 	g_hash_table_insert(sessions->by_id, &session->id, session);
 	return session;
 }
 
-/* A token is no credential of the caller's own. */
+/* A token is not a credential of the caller's own. */
 dy_session_t *dy_sessions_open(dy_sessions_t *sessions, uint64_t id,
 			       uint64_t caller, const dy_rpc_auth_t *credential,
 			       uint64_t now_ms)
 {
-	int own = credential->flavor != AUTH_SHORT;
+	int has_credential = credential->flavor != AUTH_SHORT;
 	dy_session_t *session;
 
 	if (dy_sessions_count(sessions) >= sessions->cap)
 		return NULL;
-	session = add_session(
-		sessions, id, own ? credential->flavor : AUTH_NONE,
-		own ? credential->body : NULL, own ? credential->len : 0);
+	session = add_session(sessions, id,
+			      has_credential ? credential->flavor : AUTH_NONE,
+			      has_credential ? credential->body : NULL,
+			      has_credential ? credential->len : 0);
 	session->caller = caller;
 	session->last_use_ms = now_ms;
 	return session;
@@ -157,7 +158,7 @@
 {
 	session->last_use_ms = now_ms;
 	dy_list_remove(&session->lru_link);
-	dy_list_append(&sessions->recent, &session->lru_link);
+	dy_list_append(&sessions->lru, &session->lru_link);
 }
 
 void dy_sessions_remove(dy_sessions_t *sessions, dy_session_t *session)
@@ -168,17 +169,17 @@
 }
 
 unsigned dy_sessions_expire(dy_sessions_t *sessions, uint64_t now_ms,
-			    unsigned most)
+			    unsigned max)
 {
 	dy_session_t *session;
 	dy_list_t *pos;
 	dy_list_t *tmp;
 	unsigned count = 0;
 
-	DY_LIST_EACH_SAFE(pos, tmp, &sessions->recent)
+	DY_LIST_EACH_SAFE(pos, tmp, &sessions->lru)
 	{
 		session = DY_LIST_ITEM(pos, dy_session_t, lru_link);
-		if (count == most ||
+		if (count == max ||
 		    now_ms < session->last_use_ms + sessions->idle_ms)
 			break;
 		if (session->state != DY_SESSION_LOCAL ||
@@ -206,6 +207,6 @@
 	dy_list_t *pos;
 	dy_list_t *tmp;
 
-	DY_LIST_EACH_SAFE(pos, tmp, &sessions->recent)
+	DY_LIST_EACH_SAFE(pos, tmp, &sessions->lru)
 	each(context, DY_LIST_ITEM(pos, dy_session_t, lru_link));
 }
--- a/src/connection/token.c
+++ b/src/connection/token.c
@@ -8,18 +8,18 @@
 #define MAC_OFFSET (DY_TOKEN_BYTES - DY_TOKEN_MAC_BYTES)
 
 /*
- * Tokens checked lately, so that the packets of a busy flow cost one
- * comparison in place of one HMAC. 4,096 of 96 bytes are 400 KB.
+ * Cache of verified tokens, so that a packet of a busy flow costs one
+ * comparison instead of one HMAC. 4,096 entries of 96 bytes take 400 KB.
  */
 #define CACHE_SLOTS 4096
 
 typedef struct token_key {
 	uint32_t id;
-	dy_hmac_t *hmacs[DY_SECRETS_MAX]; /* one for each secret */
+	dy_hmac_t *hmacs[DY_SECRETS_MAX]; /* one per secret */
 } token_key_t;
 
 struct dy_keyring {
-	dy_hmac_t *secrets[DY_SECRETS_MAX]; /* keys are derived from them */
+	dy_hmac_t *secrets[DY_SECRETS_MAX]; /* for deriving keys */
 	int secret_count;
 	token_key_t keys[DY_TOKEN_KEYS_MAX];
 	int count;
@@ -84,8 +84,8 @@
 	memset(ring->cache, 0, sizeof(ring->cache));
 }
 
-/* A ring that is full forgets its oldest key: ids only grow. */
-static void make_room(dy_keyring_t *ring)
+/* A full keyring drops its oldest key; key ids only increase. */
+static void evict_key_if_full(dy_keyring_t *ring)
 {
 	uint32_t oldest = UINT32_MAX;
 	int i;
@@ -106,7 +106,7 @@
 	uint32_t id = htonl(info->id);
 	int i;
 
-	make_room(ring);
+	evict_key_if_full(ring);
 	memcpy(material, info->salt, DY_SALT_BYTES);
 	memcpy(material + DY_SALT_BYTES, &id, sizeof(id));
 	key = &ring->keys[ring->count++];
@@ -166,8 +166,8 @@
 }
 
 /*
- * Any secret of the key file may have signed, so that a token outlives the
- * roll-over of the file, process by process.
+ * Any secret of the key file is valid for signing, so that tokens remain valid
+ * while the processes switch to a new file one by one.
  */
 static int has_mac(const dy_keyring_t *ring, const token_key_t *key,
 		   const uint8_t *bytes)
