--- a/tests/fake_holder.c
+++ b/tests/fake_holder.c
@@ -9,13 +9,13 @@
 
 fake_holder_t fake_holder;
 
-static void to_target(void *context, uint8_t *bytes, size_t len, uint32_t note)
+static void to_target(void *context, uint8_t *bytes, size_t len, uint32_t tag)
 {
 	(void)context;
 	(void)bytes;
 	(void)len;
-	fake_holder.given++;
-	fake_holder.note = note;
+	fake_holder.sent_to_target++;
+	fake_holder.last_tag = tag;
 }
 
 static void to_caller(void *context, const dy_flow_id_t *flow,
@@ -25,13 +25,13 @@
 	(void)flow;
 	(void)bytes;
 	(void)len;
-	fake_holder.answers++;
+	fake_holder.sent_to_callers++;
 }
 
 static void pass_on(void *context, dy_flow_forward_t *forward)
 {
 	(void)context;
-	fake_holder.passed++;
+	fake_holder.passed_on++;
 	fake_holder.forward = *forward;
 }
 
@@ -40,7 +40,7 @@
 {
 	(void)context;
 	(void)balancer;
-	fake_holder.helds++;
+	fake_holder.held_count++;
 	fake_holder.held = *message;
 }
 
@@ -49,7 +49,7 @@
 {
 	(void)context;
 	(void)balancer;
-	fake_holder.nowheres++;
+	fake_holder.nowhere_count++;
 	fake_holder.nowhere = *message;
 }
 
@@ -58,20 +58,20 @@
 {
 	(void)context;
 	(void)balancer;
-	fake_holder.reports++;
+	fake_holder.report_count++;
 	fake_holder.report = *message;
 }
 
 static void changed(void *context)
 {
 	(void)context;
-	fake_holder.changes++;
+	fake_holder.change_count++;
 }
 
 static void check_target(void *context)
 {
 	(void)context;
-	fake_holder.checks++;
+	fake_holder.port_checks++;
 }
 
 static const dy_flow_holder_callbacks_t callbacks = {
@@ -81,33 +81,33 @@
 
 dy_address_t fake_holder_address(unsigned number, uint16_t port)
 {
-	dy_address_t made;
+	dy_address_t address;
 
-	dy_address_set_ipv4(&made, 0x0a000000u + number, port);
-	return made;
+	dy_address_set_ipv4(&address, 0x0a000000u + number, port);
+	return address;
 }
 
 dy_target_notice_t fake_holder_notice(uint64_t sequence,
 				      dy_target_state_t state)
 {
-	dy_target_notice_t made = { 0 };
+	dy_target_notice_t notice = { 0 };
 
-	g_strlcpy(made.id, "t1", sizeof(made.id));
-	g_strlcpy(made.service, FAKE_HOLDER_SERVICE, sizeof(made.service));
-	made.address = fake_holder_address(FAKE_HOLDER_SELF, 8080);
-	made.slots = FAKE_HOLDER_SLOTS;
-	made.cold_ms = fake_holder.cold_ms;
-	made.sequence = sequence;
-	made.born_ms = 5000;
-	made.state = state;
-	return made;
+	g_strlcpy(notice.id, "t1", sizeof(notice.id));
+	g_strlcpy(notice.service, FAKE_HOLDER_SERVICE, sizeof(notice.service));
+	notice.address = fake_holder_address(FAKE_HOLDER_SELF, 8080);
+	notice.slots = FAKE_HOLDER_SLOTS;
+	notice.cold_ms = fake_holder.cold_ms;
+	notice.sequence = sequence;
+	notice.born_ms = 5000;
+	notice.state = state;
+	return notice;
 }
 
 int fake_holder_announce(uint64_t sequence, dy_target_state_t state)
 {
-	dy_target_notice_t made = fake_holder_notice(sequence, state);
+	dy_target_notice_t notice = fake_holder_notice(sequence, state);
 
-	return dy_flow_holder_receive_notice(fake_holder.holder, &made,
+	return dy_flow_holder_receive_notice(fake_holder.holder, &notice,
 					     fake_holder.now_ms);
 }
 
@@ -143,22 +143,22 @@
 dy_packet_t fake_holder_packet(unsigned flow, unsigned marks, uint32_t seq,
 			       uint32_t ack, uint16_t data)
 {
-	dy_packet_t made = { 0 };
+	dy_packet_t packet = { 0 };
 
-	made.flow.caller_ip = 0x64400001u;
-	made.flow.caller_port = 1024 + flow;
-	made.flow.entry_ip = 0xc6120001u;
-	made.flow.entry_port = 443;
-	made.flags = marks;
-	made.seq = seq;
-	made.ack = ack;
-	made.retransmits = marks & DY_PACKET_SYN ? ack : 0;
-	made.data_bytes = data;
-	return made;
+	packet.flow.caller_ip = 0x64400001u;
+	packet.flow.caller_port = 1024 + flow;
+	packet.flow.entry_ip = 0xc6120001u;
+	packet.flow.entry_port = 443;
+	packet.flags = marks;
+	packet.seq = seq;
+	packet.ack = ack;
+	packet.retransmits = marks & DY_PACKET_SYN ? ack : 0;
+	packet.data_bytes = data;
+	return packet;
 }
 
-void fake_holder_forward_for(const char *service, const dy_packet_t *made,
-			     unsigned tries)
+void fake_holder_send_forward(const char *service, const dy_packet_t *packet,
+			      unsigned tries)
 {
 	static dy_address_t list[2];
 	dy_flow_forward_t forward = { 0 };
@@ -176,36 +176,36 @@
 	forward.tries.tries_len = tries;
 	forward.packet.packet_val = (char *)fake_holder.bytes;
 	forward.packet.packet_len = sizeof(fake_holder.bytes);
-	dy_flow_holder_receive_forward(fake_holder.holder, &forward, made,
+	dy_flow_holder_receive_forward(fake_holder.holder, &forward, packet,
 				       fake_holder.now_ms);
 }
 
 void fake_holder_from_caller(unsigned flow, unsigned marks, uint32_t ack,
 			     uint16_t data)
 {
-	dy_packet_t made = fake_holder_packet(flow, marks, 1, ack, data);
+	dy_packet_t packet = fake_holder_packet(flow, marks, 1, ack, data);
 
-	fake_holder_forward_for(FAKE_HOLDER_SERVICE, &made, 2);
+	fake_holder_send_forward(FAKE_HOLDER_SERVICE, &packet, 2);
 }
 
 void fake_holder_from_target(unsigned flow, unsigned marks, uint32_t seq,
 			     uint16_t data)
 {
-	dy_packet_t made = fake_holder_packet(flow, marks, seq, 2, data);
+	dy_packet_t packet = fake_holder_packet(flow, marks, seq, 2, data);
 
 	dy_flow_holder_receive_packet(
-		fake_holder.holder, &made, fake_holder.bytes,
+		fake_holder.holder, &packet, fake_holder.bytes,
 		sizeof(fake_holder.bytes), fake_holder.now_ms);
 }
 
-void fake_holder_give_back(unsigned flow, unsigned marks, uint32_t note)
+void fake_holder_bounce(unsigned flow, unsigned marks, uint32_t tag)
 {
-	dy_packet_t made =
+	dy_packet_t packet =
 		fake_holder_packet(flow, marks | DY_PACKET_BOUNCED, 1, 2, 0);
 
-	made.tag = note;
+	packet.tag = tag;
 	dy_flow_holder_receive_packet(
-		fake_holder.holder, &made, fake_holder.bytes,
+		fake_holder.holder, &packet, fake_holder.bytes,
 		sizeof(fake_holder.bytes), fake_holder.now_ms);
 }
 
--- a/tests/fake_router.c
+++ b/tests/fake_router.c
@@ -25,21 +25,22 @@
 	fake_router.reset_seq = seq;
 }
 
-static void on_confirm(void *context)
+static void on_confirm_members(void *context)
 {
 	(void)context;
-	fake_router.confirms++;
+	fake_router.confirm_requests++;
 }
 
-static void on_ask(void *context, const dy_address_t *address)
+static void on_request_report(void *context, const dy_address_t *address)
 {
 	(void)context;
 	(void)address;
-	fake_router.asks++;
+	fake_router.report_requests++;
 }
 
 static const dy_flow_router_callbacks_t callbacks = { on_forward, on_reset,
-						      on_confirm, on_ask };
+						      on_confirm_members,
+						      on_request_report };
 
 dy_address_t fake_router_agent(unsigned number)
 {
@@ -52,10 +53,10 @@
 void fake_router_set_member(unsigned number, dy_member_state_t state,
 			    const char *service)
 {
-	fake_router_set_member_of(number, state, service, "d1");
+	fake_router_set_member_in(number, state, service, "d1");
 }
 
-void fake_router_set_member_of(unsigned number, dy_member_state_t state,
+void fake_router_set_member_in(unsigned number, dy_member_state_t state,
 			       const char *service, const char *domain)
 {
 	dy_member_t member = { 0 };
@@ -71,8 +72,8 @@
 	dy_flow_router_set_member(fake_router.router, &member);
 }
 
-void fake_router_set_rules_of(uint64_t version, const char *first,
-			      const char *second, int repeatable)
+void fake_router_set_rules_with(uint64_t version, const char *first,
+				const char *second, int repeatable)
 {
 	dy_flow_rules_t *rules = dy_flow_rules_create(version);
 	dy_flow_entry_t entry = { .ip = FAKE_ENTRY_IP,
@@ -95,7 +96,7 @@
 void fake_router_set_rules(uint64_t version, const char *first,
 			   const char *second)
 {
-	fake_router_set_rules_of(version, first, second, 0);
+	fake_router_set_rules_with(version, first, second, 0);
 }
 
 void fake_router_begin(unsigned agents)
@@ -124,44 +125,45 @@
 
 dy_packet_t fake_router_packet(unsigned flow, unsigned marks, uint32_t ack)
 {
-	dy_packet_t made = { 0 };
+	dy_packet_t packet = { 0 };
 
-	made.flow.caller_ip = 0x64400001u;
-	made.flow.caller_port = 1024 + flow;
-	made.flow.entry_ip = FAKE_ENTRY_IP;
-	made.flow.entry_port = FAKE_ENTRY_PORT;
-	made.flags = marks;
-	made.ack = ack;
-	return made;
+	packet.flow.caller_ip = 0x64400001u;
+	packet.flow.caller_port = 1024 + flow;
+	packet.flow.entry_ip = FAKE_ENTRY_IP;
+	packet.flow.entry_port = FAKE_ENTRY_PORT;
+	packet.flags = marks;
+	packet.ack = ack;
+	return packet;
 }
 
-void fake_router_take(unsigned flow, unsigned marks, uint32_t ack)
+void fake_router_receive_packet(unsigned flow, unsigned marks, uint32_t ack)
 {
-	dy_packet_t made = fake_router_packet(flow, marks, ack);
+	dy_packet_t packet = fake_router_packet(flow, marks, ack);
 
 	dy_flow_router_receive_packet(
-		fake_router.router, &made, fake_router.bytes,
+		fake_router.router, &packet, fake_router.bytes,
 		sizeof(fake_router.bytes), fake_router.now_ms);
 }
 
-void fake_router_tell_held(unsigned flow, const dy_address_t *by, int open)
+void fake_router_receive_held(unsigned flow, const dy_address_t *agent,
+			      int open)
 {
 	dy_flow_held_t held = { 0 };
 
 	held.flow = fake_router_packet(flow, 0, 0).flow;
-	held.agent = *by;
+	held.agent = *agent;
 	held.open = open;
 	held.load.slots = 4;
 	dy_flow_router_receive_held(fake_router.router, &held,
 				    fake_router.now_ms);
 }
 
-void fake_router_tell_nowhere(unsigned flow, unsigned marks, int certain)
+void fake_router_receive_nowhere(unsigned flow, unsigned marks, int certain)
 {
-	dy_packet_t made = fake_router_packet(flow, marks, 77);
+	dy_packet_t packet = fake_router_packet(flow, marks, 77);
 	dy_flow_nowhere_t nowhere = { 0 };
 
-	nowhere.flow = made.flow;
+	nowhere.flow = packet.flow;
 	nowhere.agent =
 		fake_router.tries[fake_router.forward.tries.tries_len - 1];
 	nowhere.reason =
@@ -172,16 +174,16 @@
 	nowhere.certain = certain;
 	nowhere.packet.packet_val = (char *)fake_router.bytes;
 	nowhere.packet.packet_len = sizeof(fake_router.bytes);
-	dy_flow_router_receive_nowhere(fake_router.router, &nowhere, &made,
+	dy_flow_router_receive_nowhere(fake_router.router, &nowhere, &packet,
 				       fake_router.now_ms);
 }
 
-void fake_router_report(unsigned number)
+void fake_router_receive_report(unsigned number)
 {
-	fake_router_report_heard(number, 0);
+	fake_router_receive_report_with(number, 0);
 }
 
-void fake_router_report_heard(unsigned number, uint32_t heard)
+void fake_router_receive_report_with(unsigned number, uint32_t heard)
 {
 	dy_flow_report_t message = { 0 };
 
--- a/tests/fake_router.h
+++ b/tests/fake_router.h
@@ -2,8 +2,8 @@
 #define DAMASKYARD_FAKE_ROUTER_H
 
 /*
- * A flow router between made-up agents, callers and documents. One at a time;
- * what it did last, and how often, can be read.
+ * A flow router with simulated agents, callers and documents. There is one at a
+ * time; fake_router records what it emitted last and how often.
  */
 
 #include <check.h>
@@ -11,11 +11,10 @@
 #include "damaskyard/address.h"
 #include "damaskyard/flow_router.h"
 
-/* Where all its callers' packets go. */
+/* The entry to which all callers send their packets. */
 #define FAKE_ENTRY_IP 0xc6120001u
 #define FAKE_ENTRY_PORT 443
 
-/* What the router did last, and how often. */
 typedef struct fake_router {
 	dy_flow_router_t *router;
 	dy_metrics_t *metrics;
@@ -25,48 +24,56 @@
 	char service[64];
 	unsigned resets;
 	uint32_t reset_seq;
-	unsigned confirms;
-	unsigned asks;
+	unsigned confirm_requests;
+	unsigned report_requests;
 	uint64_t now_ms;
 	uint8_t bytes[34];
 } fake_router_t;
 
 extern fake_router_t fake_router;
 
-/* Create one whose agents 1 to agents serve "readings", as its entry says. */
+/*
+ * Creates a router; the agents 1 to agents serve "readings", the entry's
+ * service.
+ */
 void fake_router_begin(unsigned agents);
 void fake_router_end(void);
 
-/* The address of the agent of a number. */
+/* Returns the address of the agent with this number. */
 dy_address_t fake_router_agent(unsigned number);
 
 void fake_router_set_member(unsigned number, dy_member_state_t state,
 			    const char *service);
 
-/* Services of the entry; NULL for one that it does not have. */
+/* Sets the services of the entry; NULL leaves one out. */
 void fake_router_set_rules(uint64_t version, const char *first,
 			   const char *second);
-void fake_router_set_rules_of(uint64_t version, const char *first,
-			      const char *second, int repeatable);
+void fake_router_set_rules_with(uint64_t version, const char *first,
+				const char *second, int repeatable);
 
 dy_packet_t fake_router_packet(unsigned flow, unsigned marks, uint32_t ack);
 
-/* Have the router take a packet of a caller. */
-void fake_router_take(unsigned flow, unsigned marks, uint32_t ack);
+/* Passes a packet of a caller to the router. */
+void fake_router_receive_packet(unsigned flow, unsigned marks, uint32_t ack);
 
-/* An agent says that it holds the flow, with the whole handshake if open. */
-void fake_router_tell_held(unsigned flow, const dy_address_t *by, int open);
+/*
+ * An agent reports that it holds the flow; open: with the complete handshake.
+ */
+void fake_router_receive_held(unsigned flow, const dy_address_t *agent,
+			      int open);
 
-/* The last agent of the last forward says that nobody of them holds it. */
-void fake_router_tell_nowhere(unsigned flow, unsigned marks, int certain);
+/*
+ * The last agent of the last forward reports that none of them holds the flow.
+ */
+void fake_router_receive_nowhere(unsigned flow, unsigned marks, int certain);
 
-/* The agent of that number says that it lives. */
-void fake_router_report(unsigned number);
-/* And how many messages it counted that came straight from the router. */
-void fake_router_report_heard(unsigned number, uint32_t heard);
+/* The agent with this number sends a load report. */
+void fake_router_receive_report(unsigned number);
+/* As above, with the number of messages that it received directly. */
+void fake_router_receive_report_with(unsigned number, uint32_t heard);
 
 /* As fake_router_set_member(), in a failure domain. */
-void fake_router_set_member_of(unsigned number, dy_member_state_t state,
+void fake_router_set_member_in(unsigned number, dy_member_state_t state,
 			       const char *service, const char *domain);
 
 #endif
--- a/tests/test_cold_limit.c
+++ b/tests/test_cold_limit.c
@@ -4,17 +4,21 @@
 
 #define OPENINGS 20000
 
-/* Openings that come at random, let in as far as the limit allows. */
-static unsigned let_in(unsigned most, unsigned mean_gap_ms, uint64_t *times)
+/*
+ * Records openings at random times as far as the limit allows them. Returns
+ * their number.
+ */
+static unsigned record_random_openings(unsigned limit_per_window,
+				       unsigned mean_gap_ms, uint64_t *times)
 {
-	GRand *rand = g_rand_new_with_seed(most);
+	GRand *rand = g_rand_new_with_seed(limit_per_window);
 	dy_cold_limit_t limit;
 	uint64_t now_ms = 100000;
 	unsigned count = 0;
 	unsigned i;
 
 	dy_cold_limit_init(&limit);
-	dy_cold_limit_set(&limit, most);
+	dy_cold_limit_set(&limit, limit_per_window);
 	for (i = 0; i < OPENINGS; i++) {
 		now_ms += (uint64_t)g_rand_int_range(
 			rand, 0, 2 * (gint32)mean_gap_ms + 1);
@@ -28,45 +32,51 @@
 	return count;
 }
 
-/* A second that begins in the middle of two counted ones has twice as many. */
-START_TEST(no_second_has_more_than_allowed)
+/*
+ * Guards against fixed windows: a second that spans two of them gets twice the
+ * limit.
+ */
+START_TEST(limits_openings_in_any_second)
 {
 	static const unsigned limits[] = { 1, 2, 20, 500, 4096 };
 	static uint64_t times[OPENINGS];
-	unsigned most = limits[_i];
-	unsigned count = let_in(most, 1, times);
+	unsigned max_openings = limits[_i];
+	unsigned count = record_random_openings(max_openings, 1, times);
 	unsigned i;
 
-	ck_assert_uint_gt(count, most);
-	for (i = most; i < count; i++)
-		ck_assert_uint_ge(times[i] - times[i - most], 1000);
+	ck_assert_uint_gt(count, max_openings);
+	for (i = max_openings; i < count; i++)
+		ck_assert_uint_ge(times[i] - times[i - max_openings], 1000);
 }
 END_TEST
 
-/* Targets stay cold and idle while their callers are sent away. */
-START_TEST(rate_is_filled_while_there_is_demand)
+/*
+ * Guards against a limit that keeps targets cold and idle while callers are
+ * sent away.
+ */
+START_TEST(reaches_limit_under_constant_demand)
 {
 	static const unsigned limits[] = { 1, 2, 20, 500 };
 	static uint64_t times[OPENINGS];
-	unsigned most = limits[_i];
-	unsigned count = let_in(most, 1, times);
+	unsigned max_openings = limits[_i];
+	unsigned count = record_random_openings(max_openings, 1, times);
 	double seconds = (double)(times[count - 1] - times[0]) / 1000;
 
-	ck_assert_double_ge(count, 0.9 * most * seconds);
+	ck_assert_double_ge(count, 0.9 * max_openings * seconds);
 }
 END_TEST
 
-/* A service of which nothing is said is held back. */
-START_TEST(no_limit_lets_all_in)
+/* Guards against limiting a service for which no rate is configured. */
+START_TEST(allows_all_openings_without_limit)
 {
 	static uint64_t times[OPENINGS];
 
-	ck_assert_uint_eq(let_in(0, 0, times), OPENINGS);
+	ck_assert_uint_eq(record_random_openings(0, 0, times), OPENINGS);
 }
 END_TEST
 
-/* A limit that is lowered forgets what was let in before. */
-START_TEST(openings_of_before_count_under_a_new_limit)
+/* Guards against a lowered limit that ignores the openings before it. */
+START_TEST(counts_earlier_openings_after_limit_change)
 {
 	dy_cold_limit_t limit;
 	unsigned i;
@@ -92,10 +102,10 @@
 	SRunner *runner;
 	int failures;
 
-	tcase_add_loop_test(tcase, no_second_has_more_than_allowed, 0, 5);
-	tcase_add_loop_test(tcase, rate_is_filled_while_there_is_demand, 0, 4);
-	tcase_add_test(tcase, no_limit_lets_all_in);
-	tcase_add_test(tcase, openings_of_before_count_under_a_new_limit);
+	tcase_add_loop_test(tcase, limits_openings_in_any_second, 0, 5);
+	tcase_add_loop_test(tcase, reaches_limit_under_constant_demand, 0, 4);
+	tcase_add_test(tcase, allows_all_openings_without_limit);
+	tcase_add_test(tcase, counts_earlier_openings_after_limit_change);
 	suite_add_tcase(suite, tcase);
 	runner = srunner_create(suite);
 	srunner_run_all(runner, CK_NORMAL);
--- a/tests/test_flow_burst.c
+++ b/tests/test_flow_burst.c
@@ -1,6 +1,6 @@
 /*
- * What callers receive where all of them open flows within one moment: an
- * agent's decisions, with a target and callers modelled by the millisecond.
+ * Callers' results when all of them open flows at the same time. The test runs
+ * a flow holder against a model of a target and its callers with steps of 1 ms.
  */
 
 #include "damaskyard/flow_holder.h"
@@ -12,12 +12,12 @@
 #include "damaskyard/address.h"
 #include "fake_suite.h"
 
-/* The target answers 40 requests a second and queues a few. */
+/* The target answers 40 requests per second and queues a few. */
 #define SLOTS 2
 #define QUEUED_MAX 8
 #define WORK_MS 50
 
-/* One that is refused tries again at once, on another port, twice. */
+/* A caller that is refused retries at once on another port, up to two times. */
 #define CALLERS 60
 #define TRIES 3
 #define ROUND_TRIP_MS 6
@@ -27,7 +27,7 @@
 
 typedef enum step {
 	STEP_OPENING,
-	STEP_ASKING, /* the flow is open, its request is on its way */
+	STEP_REQUESTING, /* the flow is open, the request is in flight */
 	STEP_QUEUED,
 	STEP_RUNNING,
 	STEP_ANSWERED,
@@ -36,8 +36,8 @@
 
 typedef struct caller {
 	step_t step;
-	unsigned tries;	 /* before this one */
-	uint64_t due_ms; /* when it does what comes next; 0: it waits */
+	unsigned tries;	 /* number of earlier tries */
+	uint64_t due_ms; /* time of the next step; 0: waiting */
 } caller_t;
 
 static struct {
@@ -45,13 +45,13 @@
 	uint64_t now_ms;
 	caller_t callers[CALLERS];
 	unsigned counts[STEP_FAILED + 1];
-	unsigned refused; /* by the target: each cost a caller a try */
-} world;
+	unsigned refused; /* by the target; each cost a caller a try */
+} model;
 
-static void enter(caller_t *caller, step_t step, uint64_t due_ms)
+static void set_step(caller_t *caller, step_t step, uint64_t due_ms)
 {
-	world.counts[caller->step]--;
-	world.counts[step]++;
+	model.counts[caller->step]--;
+	model.counts[step]++;
 	caller->step = step;
 	caller->due_ms = due_ms;
 }
@@ -63,7 +63,7 @@
 
 	packet.flow.caller_ip = 1;
 	packet.flow.caller_port =
-		(uint16_t)((caller - world.callers) * TRIES + caller->tries);
+		(uint16_t)((caller - model.callers) * TRIES + caller->tries);
 	packet.flags = marks;
 	packet.data_bytes = data;
 	return packet;
@@ -84,8 +84,8 @@
 	forward.tries.tries_len = 1;
 	forward.packet.packet_val = bytes;
 	forward.packet.packet_len = sizeof(bytes);
-	dy_flow_holder_receive_forward(world.holder, &forward, &packet,
-				       world.now_ms);
+	dy_flow_holder_receive_forward(model.holder, &forward, &packet,
+				       model.now_ms);
 }
 
 static void send_from_target(const caller_t *caller, unsigned marks,
@@ -94,48 +94,52 @@
 	dy_packet_t packet = packet_of(caller, marks, data);
 	uint8_t bytes[PACKET_BYTES] = { 0 };
 
-	dy_flow_holder_receive_packet(world.holder, &packet, bytes,
-				      sizeof(bytes), world.now_ms);
+	dy_flow_holder_receive_packet(model.holder, &packet, bytes,
+				      sizeof(bytes), model.now_ms);
 }
 
-/* The try ended and did not run. */
+/* Ends a try whose request did not run. */
 static void end_try(caller_t *caller)
 {
 	if (caller->tries + 1 == TRIES) {
-		enter(caller, STEP_FAILED, 0);
+		set_step(caller, STEP_FAILED, 0);
 		return;
 	}
 	caller->tries++;
-	enter(caller, STEP_OPENING, world.now_ms + ROUND_TRIP_MS);
+	set_step(caller, STEP_OPENING, model.now_ms + ROUND_TRIP_MS);
 }
 
-/* Which caller's try a flow is; NULL if it has gone on to another. */
+/*
+ * Returns the caller whose current try uses flow, or NULL if that try is over.
+ */
 static caller_t *find_caller(const dy_flow_id_t *flow)
 {
-	caller_t *caller = &world.callers[flow->caller_port / TRIES];
+	caller_t *caller = &model.callers[flow->caller_port / TRIES];
 
 	return caller->tries == flow->caller_port % TRIES ? caller : NULL;
 }
 
-static void to_target(void *context, uint8_t *bytes, size_t len, uint32_t note)
+static void to_target(void *context, uint8_t *bytes, size_t len, uint32_t tag)
 {
 	dy_flow_id_t flow;
 	caller_t *caller;
 
 	(void)context;
 	(void)len;
-	(void)note;
+	(void)tag;
 	memcpy(&flow, bytes, sizeof(flow));
 	caller = find_caller(&flow);
 	if (!caller)
 		return;
-	/* An opening is answered, and its request comes a round trip later. */
+	/*
+	 * The target responds to a SYN; the request follows a round trip later.
+	 */
 	if (caller->step == STEP_OPENING)
-		enter(caller, STEP_ASKING, world.now_ms + ROUND_TRIP_MS);
-	else if (world.counts[STEP_QUEUED] < QUEUED_MAX)
-		enter(caller, STEP_QUEUED, 0);
+		set_step(caller, STEP_REQUESTING, model.now_ms + ROUND_TRIP_MS);
+	else if (model.counts[STEP_QUEUED] < QUEUED_MAX)
+		set_step(caller, STEP_QUEUED, 0);
 	else
-		caller->due_ms = world.now_ms + 1;
+		caller->due_ms = model.now_ms + 1;
 }
 
 static void to_caller(void *context, const dy_flow_id_t *flow,
@@ -190,29 +194,29 @@
 	on_nowhere, on_report, on_event,   on_event,
 };
 
-/* The target refuses a request, in its flow, as not run. */
+/* The target refuses a request as not run, within its flow. */
 static void refuse_request(caller_t *caller)
 {
-	world.refused++;
+	model.refused++;
 	send_from_target(caller, DY_PACKET_ACK | DY_PACKET_FIN, 100);
 	end_try(caller);
 }
 
-static void do_next(caller_t *caller)
+static void run_step(caller_t *caller)
 {
 	caller->due_ms = 0;
 	switch (caller->step) {
 	case STEP_OPENING:
 		send_to_agent(caller, DY_PACKET_SYN, 0);
 		return;
-	case STEP_ASKING:
+	case STEP_REQUESTING:
 		send_from_target(caller, DY_PACKET_SYN | DY_PACKET_ACK, 0);
 		send_to_agent(caller, DY_PACKET_ACK, 90);
-		if (caller->step == STEP_ASKING)
+		if (caller->step == STEP_REQUESTING)
 			refuse_request(caller);
 		return;
 	case STEP_RUNNING:
-		enter(caller, STEP_ANSWERED, 0);
+		set_step(caller, STEP_ANSWERED, 0);
 		send_from_target(caller, DY_PACKET_ACK, 300);
 		return;
 	default:
@@ -224,24 +228,24 @@
 {
 	unsigned i;
 
-	for (i = 0; i < CALLERS && world.counts[STEP_RUNNING] < SLOTS; i++)
-		if (world.callers[i].step == STEP_QUEUED)
-			enter(&world.callers[i], STEP_RUNNING,
-			      world.now_ms + WORK_MS);
+	for (i = 0; i < CALLERS && model.counts[STEP_RUNNING] < SLOTS; i++)
+		if (model.callers[i].step == STEP_QUEUED)
+			set_step(&model.callers[i], STEP_RUNNING,
+				 model.now_ms + WORK_MS);
 }
 
-static void run(uint64_t ms)
+static void run_for(uint64_t ms)
 {
-	uint64_t end_ms = world.now_ms + ms;
+	uint64_t end_ms = model.now_ms + ms;
 	unsigned i;
 
-	for (; world.now_ms < end_ms; world.now_ms++) {
+	for (; model.now_ms < end_ms; model.now_ms++) {
 		for (i = 0; i < CALLERS; i++)
-			if (world.callers[i].due_ms == world.now_ms)
-				do_next(&world.callers[i]);
+			if (model.callers[i].due_ms == model.now_ms)
+				run_step(&model.callers[i]);
 		run_target();
-		if (!(world.now_ms % 200))
-			dy_flow_holder_tick(world.holder, world.now_ms);
+		if (!(model.now_ms % 200))
+			dy_flow_holder_tick(model.holder, model.now_ms);
 	}
 }
 
@@ -254,70 +258,71 @@
 	g_strlcpy(notice.id, "t1", sizeof(notice.id));
 	g_strlcpy(notice.service, "readings", sizeof(notice.service));
 	dy_address_set_ipv4(&notice.address, 1, 8080);
-	ck_assert(dy_flow_holder_receive_notice(world.holder, &notice,
-						world.now_ms));
+	ck_assert(dy_flow_holder_receive_notice(model.holder, &notice,
+						model.now_ms));
 }
 
-static dy_metrics_t *begin(void)
+static dy_metrics_t *create_model(void)
 {
 	dy_metrics_t *metrics = dy_metrics_create();
 	dy_flow_holder_config_t config = { .service = "readings",
 					   .metrics = metrics,
 					   .callbacks = &callbacks };
 
-	memset(&world, 0, sizeof(world));
-	world.now_ms = 100000;
-	world.counts[STEP_OPENING] = CALLERS;
+	memset(&model, 0, sizeof(model));
+	model.now_ms = 100000;
+	model.counts[STEP_OPENING] = CALLERS;
 	dy_address_set_ipv4(&config.self, 1, 7002);
 	dy_address_set_ipv4(&config.target, 1, 8080);
-	world.holder = dy_flow_holder_create(&config);
+	model.holder = dy_flow_holder_create(&config);
 	announce();
 	return metrics;
 }
 
 /*
- * Power is back, and sixty callers open flows to one target within a moment.
- * It can answer all of them before their deadlines, but would queue ten and
- * refuse the rest at once, three times each: most end with no tries left.
+ * Power is back, and 60 callers open flows to one target at the same time. The
+ * target could answer all of them in time. Without the agent's queue it would
+ * queue 10 and refuse the rest at once, three times each, and most callers
+ * would run out of tries.
  */
-START_TEST(callers_of_a_burst_are_answered)
+START_TEST(answers_callers_of_burst)
 {
-	dy_metrics_t *metrics = begin();
+	dy_metrics_t *metrics = create_model();
 	unsigned i;
 
 	for (i = 0; i < CALLERS; i++)
-		world.callers[i].due_ms = world.now_ms + i / 10;
-	run(DEADLINE_MS);
-	ck_assert_uint_eq(world.refused, 0);
-	ck_assert_uint_ge(world.counts[STEP_ANSWERED], CALLERS - 3);
-	dy_flow_holder_destroy(world.holder);
+		model.callers[i].due_ms = model.now_ms + i / 10;
+	run_for(DEADLINE_MS);
+	ck_assert_uint_eq(model.refused, 0);
+	ck_assert_uint_ge(model.counts[STEP_ANSWERED], CALLERS - 3);
+	dy_flow_holder_destroy(model.holder);
 	dy_metrics_destroy(metrics);
 }
 END_TEST
 
 /*
- * The burst is over what the target can do for long. Those who come while it
- * is worked off are still answered within four times their own work, not
- * behind all that came before.
+ * A burst exceeds the target's capacity for some time. Guards against new
+ * callers that wait behind the whole burst: they must be answered within four
+ * times their own service time.
  */
-START_TEST(callers_after_a_burst_are_in_time)
+START_TEST(answers_callers_after_burst_in_time)
 {
-	dy_metrics_t *metrics = begin();
+	dy_metrics_t *metrics = create_model();
 	unsigned late = CALLERS - 5;
 	unsigned in_time = 0;
 	unsigned i;
 
 	for (i = 0; i < late; i++)
-		world.callers[i].due_ms = world.now_ms + i / 10;
+		model.callers[i].due_ms = model.now_ms + i / 10;
 	for (i = late; i < CALLERS; i++)
-		world.callers[i].due_ms = world.now_ms + 300 + (i - late) * 60;
-	run(300);
+		model.callers[i].due_ms = model.now_ms + 300 + (i - late) * 60;
+	run_for(300);
 	for (i = late; i < CALLERS; i++) {
-		run(i == late ? 4 * WORK_MS : 60);
-		in_time += world.callers[i].step == STEP_ANSWERED;
+		run_for(i == late ? 4 * WORK_MS : 60);
+		in_time += model.callers[i].step == STEP_ANSWERED;
 	}
 	ck_assert_uint_eq(in_time, CALLERS - late);
-	dy_flow_holder_destroy(world.holder);
+	dy_flow_holder_destroy(model.holder);
 	dy_metrics_destroy(metrics);
 }
 END_TEST
@@ -325,8 +330,8 @@
 int main(void)
 {
 	const TTest *const tests[] = {
-		callers_of_a_burst_are_answered,
-		callers_after_a_burst_are_in_time,
+		answers_callers_of_burst,
+		answers_callers_after_burst_in_time,
 		NULL,
 	};
 
--- a/tests/test_flow_holder.c
+++ b/tests/test_flow_holder.c
@@ -5,19 +5,19 @@
 #include "fake_holder.h"
 #include "fake_suite.h"
 
-START_TEST(flow_is_opened_and_its_balancer_told)
+START_TEST(opens_flow_and_informs_balancer)
 {
 	fake_holder_begin();
 	fake_holder_from_caller(1, DY_PACKET_SYN, 0, 0);
-	ck_assert_uint_eq(fake_holder.given, 1);
-	ck_assert_uint_eq(fake_holder.helds, 0);
+	ck_assert_uint_eq(fake_holder.sent_to_target, 1);
+	ck_assert_uint_eq(fake_holder.held_count, 0);
 	fake_holder_from_target(1, DY_PACKET_SYN | DY_PACKET_ACK, 500, 0);
-	ck_assert_uint_eq(fake_holder.answers, 1);
-	ck_assert_uint_eq(fake_holder.helds, 1);
+	ck_assert_uint_eq(fake_holder.sent_to_callers, 1);
+	ck_assert_uint_eq(fake_holder.held_count, 1);
 	ck_assert(!fake_holder.held.open);
 	fake_holder_from_caller(1, DY_PACKET_ACK, 501, 0);
-	ck_assert_uint_eq(fake_holder.given, 2);
-	ck_assert_uint_eq(fake_holder.helds, 2);
+	ck_assert_uint_eq(fake_holder.sent_to_target, 2);
+	ck_assert_uint_eq(fake_holder.held_count, 2);
 	ck_assert(fake_holder.held.open);
 	ck_assert_uint_eq(fake_holder.held.load.flows, 1);
 	fake_holder_end();
@@ -25,56 +25,57 @@
 END_TEST
 
 /*
- * Two copies of an opening packet went to two targets, and both answered. The
- * caller acknowledges the other one's: this target would reset the flow.
+ * Two transmissions of a SYN went to two targets, and both responded. The
+ * caller acknowledges the other target; this one would reset the flow.
  */
-START_TEST(packet_of_another_targets_opening_is_passed_on)
+START_TEST(passes_on_ack_of_other_targets_syn)
 {
 	fake_holder_begin();
 	fake_holder_from_caller(1, DY_PACKET_SYN, 0, 0);
 	fake_holder_from_target(1, DY_PACKET_SYN | DY_PACKET_ACK, 500, 0);
 	fake_holder_from_caller(1, DY_PACKET_ACK, 900001, 0);
-	ck_assert_uint_eq(fake_holder.given, 1);
-	ck_assert_uint_eq(fake_holder.passed, 1);
+	ck_assert_uint_eq(fake_holder.sent_to_target, 1);
+	ck_assert_uint_eq(fake_holder.passed_on, 1);
 	ck_assert(fake_holder.forward.certain);
 	fake_holder_end();
 }
 END_TEST
 
 /*
- * An agent was killed and is back; its target went on with all its flows. The
- * agent's record is empty, and what it says of flows would be wrong.
+ * An agent was killed and restarted while its target kept running with all its
+ * flows. Guards against an agent that reports flows as not held because its
+ * table is empty.
  */
-START_TEST(restarted_agent_asks_its_target)
+START_TEST(sends_unknown_flow_to_target_after_agent_restart)
 {
 	fake_holder_create();
 	fake_holder_announce(40, DY_TARGET_READY);
 	fake_holder_from_caller(1, DY_PACKET_ACK, 501, 90);
-	ck_assert_uint_eq(fake_holder.given, 1);
-	ck_assert_uint_eq(fake_holder.nowheres + fake_holder.passed, 0);
+	ck_assert_uint_eq(fake_holder.sent_to_target, 1);
+	ck_assert_uint_eq(fake_holder.nowhere_count + fake_holder.passed_on, 0);
 	fake_holder_from_target(1, DY_PACKET_ACK, 502, 300);
 	fake_holder_from_caller(1, DY_PACKET_ACK, 503, 0);
-	ck_assert_uint_eq(fake_holder.helds, 1);
+	ck_assert_uint_eq(fake_holder.held_count, 1);
 	ck_assert(fake_holder.held.open);
 	fake_holder_from_caller(2, DY_PACKET_ACK, 7, 0);
-	fake_holder_give_back(2, DY_PACKET_ACK, fake_holder.note);
-	ck_assert_uint_eq(fake_holder.passed, 1);
+	fake_holder_bounce(2, DY_PACKET_ACK, fake_holder.last_tag);
+	ck_assert_uint_eq(fake_holder.passed_on, 1);
 	ck_assert(fake_holder.forward.certain);
 	fake_holder_end();
 }
 END_TEST
 
 /*
- * The target crashed and was started again: its flows are gone. The callers'
- * packets need not be given to it to know that.
+ * The target crashed and restarted without its flows. Packets of the old flows
+ * must not be sent to it just to learn that.
  */
-START_TEST(flows_end_with_their_targets_start)
+START_TEST(drops_flows_when_target_restarts)
 {
 	dy_target_notice_t next = fake_holder_notice(3, DY_TARGET_READY);
 
 	fake_holder_begin();
 	fake_holder_open_flow(1);
-	/* Its target was there after that. */
+	/* The target sends one more notice after that. */
 	fake_holder.now_ms += 1200;
 	ck_assert(fake_holder_announce(2, DY_TARGET_READY));
 	g_strlcpy(next.id, "t2", sizeof(next.id));
@@ -82,20 +83,21 @@
 	dy_flow_holder_receive_notice(fake_holder.holder, &next,
 				      fake_holder.now_ms);
 	ck_assert_uint_eq(dy_flow_holder_count(fake_holder.holder), 0);
-	fake_holder.given = 0;
+	fake_holder.sent_to_target = 0;
 	fake_holder_from_caller(1, DY_PACKET_ACK, 501, 0);
-	ck_assert_uint_eq(fake_holder.given, 0);
-	ck_assert_uint_eq(fake_holder.passed, 1);
+	ck_assert_uint_eq(fake_holder.sent_to_target, 0);
+	ck_assert_uint_eq(fake_holder.passed_on, 1);
 	ck_assert(fake_holder.forward.certain);
 	fake_holder_end();
 }
 END_TEST
 
 /*
- * The target is gone without a word. A search that is given to it ends there,
- * and the agents behind it are never asked. The flow may have been there.
+ * The target died silently. Guards against a search that is sent to it and ends
+ * there, so that the remaining agents are never asked. Whether the target held
+ * the flow is uncertain.
  */
-START_TEST(search_goes_past_a_silent_target)
+START_TEST(passes_on_search_when_target_is_silent)
 {
 	fake_holder_create();
 	fake_holder_announce(40, DY_TARGET_READY);
@@ -103,63 +105,63 @@
 	dy_flow_holder_tick(fake_holder.holder, fake_holder.now_ms);
 	ck_assert(!dy_flow_holder_accepts(fake_holder.holder));
 	fake_holder_from_caller(1, DY_PACKET_ACK, 501, 0);
-	ck_assert_uint_eq(fake_holder.given, 0);
-	ck_assert_uint_eq(fake_holder.passed, 1);
+	ck_assert_uint_eq(fake_holder.sent_to_target, 0);
+	ck_assert_uint_eq(fake_holder.passed_on, 1);
 	ck_assert(!fake_holder.forward.certain);
 	fake_holder_end();
 }
 END_TEST
 
-static unsigned steady_port;
+static unsigned low_rate_port;
 
-static void on_steady(void *context, const dy_flow_id_t *flow, uint32_t ack)
+static void on_low_rate(void *context, const dy_flow_id_t *flow, uint32_t ack)
 {
 	unsigned *count = context;
 
 	++*count;
-	steady_port = flow->caller_port;
+	low_rate_port = flow->caller_port;
 	ck_assert_uint_gt(ack, 501);
 }
 
-static unsigned count_steady(void)
+static unsigned count_low_rate(void)
 {
 	unsigned count = 0;
 
 	dy_flow_holder_each_low_rate(fake_holder.holder, fake_holder.now_ms,
-				     on_steady, &count);
+				     on_low_rate, &count);
 	return count;
 }
 
 /*
- * A reset that is made from a list names the byte that the caller acknowledged
- * when it was listed. For a download that is too far from the last one.
+ * A reset that is packet from a list carries the caller's acknowledgement at
+ * the time of the list. For a download that is too far from the current one.
  */
-START_TEST(downloads_are_not_steady)
+START_TEST(excludes_downloads_from_low_rate_flows)
 {
 	fake_holder_begin();
 	fake_holder_open_flow(1);
 	fake_holder_open_flow(2);
 	fake_holder_from_caller(1, DY_PACKET_ACK, 502, 90);
-	ck_assert_uint_eq(count_steady(), 0);
+	ck_assert_uint_eq(count_low_rate(), 0);
 	fake_holder.now_ms += DY_LOW_RATE_MIN_AGE_MS;
 	fake_holder_from_caller(1, DY_PACKET_ACK, 501 + DY_LOW_RATE_BURST_BYTES,
 				90);
 	fake_holder_from_caller(
 		2, DY_PACKET_ACK,
 		502 + DY_LOW_RATE_BURST_BYTES + DY_LOW_RATE_BYTES_PER_S, 90);
-	ck_assert_uint_eq(count_steady(), 1);
-	ck_assert_uint_eq(steady_port, 1025);
+	ck_assert_uint_eq(count_low_rate(), 1);
+	ck_assert_uint_eq(low_rate_port, 1025);
 	fake_holder_end();
 }
 END_TEST
 
-/* What comes back after its forward was forgotten is counted, not guessed. */
-START_TEST(bounce_that_is_not_known_is_dropped)
+/* A bounced packet whose forward is no longer known is counted and dropped. */
+START_TEST(drops_bounce_with_unknown_tag)
 {
 	fake_holder_begin();
-	fake_holder_give_back(1, DY_PACKET_ACK, 12345);
-	fake_holder_give_back(1, DY_PACKET_ACK, 0);
-	ck_assert_uint_eq(fake_holder.passed + fake_holder.nowheres, 0);
+	fake_holder_bounce(1, DY_PACKET_ACK, 12345);
+	fake_holder_bounce(1, DY_PACKET_ACK, 0);
+	ck_assert_uint_eq(fake_holder.passed_on + fake_holder.nowhere_count, 0);
 	ck_assert_uint_eq(
 		dy_metrics_value(fake_holder.metrics, "bounces_unknown"), 2);
 	fake_holder_end();
@@ -167,10 +169,10 @@
 END_TEST
 
 /*
- * Health endpoints lag. What passes here does not: a request was begun, its
- * answer was begun.
+ * Health endpoints lag. The load must follow from the packets: from the start
+ * of a request to the start of its answer.
  */
-START_TEST(load_is_learned_from_what_passes)
+START_TEST(derives_load_from_packets)
 {
 	fake_holder_begin();
 	fake_holder_open_flow(1);
@@ -192,8 +194,8 @@
 }
 END_TEST
 
-/* A flow counts until both of its ends have ended it. */
-START_TEST(flow_that_both_ended_counts_no_more)
+/* A flow counts as open until both of its ends have finished. */
+START_TEST(does_not_count_flow_after_both_ends_finish)
 {
 	fake_holder_begin();
 	fake_holder_open_flow(1);
@@ -202,13 +204,13 @@
 	fake_holder_from_target(1, DY_PACKET_ACK | DY_PACKET_FIN, 501, 0);
 	ck_assert_uint_eq(dy_flow_holder_count(fake_holder.holder), 0);
 	fake_holder_from_caller(1, DY_PACKET_ACK, 502, 0);
-	ck_assert_uint_eq(fake_holder.passed, 0);
+	ck_assert_uint_eq(fake_holder.passed_on, 0);
 	fake_holder_end();
 }
 END_TEST
 
-/* Callers that vanish leave half-open and idle flows. */
-START_TEST(flows_without_packets_are_forgotten)
+/* Callers that vanish leave half-open and idle flows behind. */
+START_TEST(expires_idle_and_half_open_flows)
 {
 	fake_holder_begin();
 	fake_holder_from_caller(1, DY_PACKET_SYN, 0, 0);
@@ -224,30 +226,32 @@
 }
 END_TEST
 
-/* A balancer that went away is not told of the load for ever. */
-START_TEST(only_balancers_that_send_are_told_of_the_load)
+/* Guards against load reports that go on forever to a balancer that is gone. */
+START_TEST(stops_reports_to_balancer_after_ttl)
 {
 	fake_holder_begin();
 	fake_holder_from_caller(1, DY_PACKET_SYN, 0, 0);
 	dy_flow_holder_tick(fake_holder.holder, fake_holder.now_ms);
-	ck_assert_uint_eq(fake_holder.reports, 1);
+	ck_assert_uint_eq(fake_holder.report_count, 1);
 	fake_holder.now_ms += DY_REPORT_TTL_MS + 1;
 	dy_flow_holder_tick(fake_holder.holder, fake_holder.now_ms);
-	ck_assert_uint_eq(fake_holder.reports, 1);
+	ck_assert_uint_eq(fake_holder.report_count, 1);
 	fake_holder_end();
 }
 END_TEST
 
-/* A planned stop: new flows go elsewhere, and the target is no longer there
- * once it said so. */
-START_TEST(stopping_agent_takes_no_opening)
+/*
+ * A planned stop: new flows go elsewhere, and the target counts as gone once it
+ * has announced its end.
+ */
+START_TEST(passes_on_opening_while_stopping)
 {
 	fake_holder_begin();
 	ck_assert(!dy_flow_holder_is_target_inactive(fake_holder.holder,
 						     fake_holder.now_ms));
 	dy_flow_holder_stop(fake_holder.holder);
 	fake_holder_from_caller(1, DY_PACKET_SYN, 0, 0);
-	ck_assert_uint_eq(fake_holder.passed, 1);
+	ck_assert_uint_eq(fake_holder.passed_on, 1);
 	dy_flow_holder_target_left(fake_holder.holder, "another");
 	ck_assert(!dy_flow_holder_is_target_inactive(fake_holder.holder,
 						     fake_holder.now_ms));
@@ -258,13 +262,16 @@
 }
 END_TEST
 
-/* A balancer that is not heard takes the relay's messages for its own. */
-START_TEST(report_counts_what_came_straight)
+/*
+ * Guards against counting relayed messages as direct ones: a balancer whose
+ * direct path is broken would consider the path to work.
+ */
+START_TEST(counts_only_direct_messages_in_report)
 {
 	dy_flow_forward_t forward = { 0 };
-	dy_address_t way[2] = { fake_holder_address(2, 7002),
-				fake_holder_address(FAKE_HOLDER_SELF, 7002) };
-	dy_packet_t made = fake_holder_packet(1, DY_PACKET_ACK, 1, 501, 0);
+	dy_address_t path[2] = { fake_holder_address(2, 7002),
+				 fake_holder_address(FAKE_HOLDER_SELF, 7002) };
+	dy_packet_t packet = fake_holder_packet(1, DY_PACKET_ACK, 1, 501, 0);
 	uint32_t heard;
 
 	fake_holder_begin();
@@ -275,11 +282,11 @@
 	forward.service = FAKE_HOLDER_SERVICE;
 	forward.balancer = fake_holder_address(100, 7001);
 	forward.step = 1;
-	forward.tries.tries_val = way;
+	forward.tries.tries_val = path;
 	forward.tries.tries_len = 2;
 	forward.packet.packet_val = (char *)fake_holder.bytes;
 	forward.packet.packet_len = sizeof(fake_holder.bytes);
-	dy_flow_holder_receive_forward(fake_holder.holder, &forward, &made,
+	dy_flow_holder_receive_forward(fake_holder.holder, &forward, &packet,
 				       fake_holder.now_ms);
 	dy_flow_holder_tick(fake_holder.holder, fake_holder.now_ms);
 	ck_assert_uint_eq(fake_holder.report.heard, heard);
@@ -290,8 +297,11 @@
 }
 END_TEST
 
-/* A live flow is reset that was opened before its target's first notice. */
-START_TEST(flow_opened_before_the_first_notice_of_a_start_is_kept)
+/*
+ * Guards against the reset of a live flow that opened before the first notice
+ * of its target's instance.
+ */
+START_TEST(keeps_flow_opened_before_first_notice_of_instance)
 {
 	dy_target_notice_t notice = fake_holder_notice(1, DY_TARGET_READY);
 
@@ -299,7 +309,7 @@
 	fake_holder_open_flow(1);
 	fake_holder.now_ms += 1200;
 	ck_assert(fake_holder_announce(2, DY_TARGET_READY));
-	/* The target is replaced here, and its successor has the flow. */
+	/* The target is replaced here; the new instance has flow 2. */
 	fake_holder.now_ms += 300;
 	fake_holder_open_flow(2);
 	fake_holder.now_ms += 20;
@@ -307,21 +317,24 @@
 	notice.born_ms += 1490;
 	ck_assert(dy_flow_holder_receive_notice(fake_holder.holder, &notice,
 						fake_holder.now_ms));
-	fake_holder.given = 0;
+	fake_holder.sent_to_target = 0;
 	fake_holder_from_caller(2, DY_PACKET_ACK, 501, 90);
-	ck_assert_uint_eq(fake_holder.given, 1);
-	ck_assert_uint_eq(fake_holder.passed, 0);
-	/* What was opened earlier is over, for sure. */
+	ck_assert_uint_eq(fake_holder.sent_to_target, 1);
+	ck_assert_uint_eq(fake_holder.passed_on, 0);
+	/* Flow 1 was opened earlier and is certainly over. */
 	fake_holder_from_caller(1, DY_PACKET_ACK, 501, 90);
-	ck_assert_uint_eq(fake_holder.given, 1);
-	ck_assert_uint_eq(fake_holder.passed, 1);
+	ck_assert_uint_eq(fake_holder.sent_to_target, 1);
+	ck_assert_uint_eq(fake_holder.passed_on, 1);
 	ck_assert(fake_holder.forward.certain);
 	fake_holder_end();
 }
 END_TEST
 
-/* A flow of the predecessor that was kept is taken for the successor's. */
-START_TEST(flow_that_a_new_start_gives_back_is_over)
+/*
+ * Guards against keeping a flow of the earlier instance as one of the new
+ * instance.
+ */
+START_TEST(drops_flow_bounced_by_new_instance)
 {
 	dy_target_notice_t notice = fake_holder_notice(1, DY_TARGET_READY);
 
@@ -333,8 +346,8 @@
 	ck_assert(dy_flow_holder_receive_notice(fake_holder.holder, &notice,
 						fake_holder.now_ms));
 	fake_holder_from_caller(1, DY_PACKET_ACK, 501, 90);
-	fake_holder_give_back(1, DY_PACKET_ACK, fake_holder.note);
-	ck_assert_uint_eq(fake_holder.passed, 1);
+	fake_holder_bounce(1, DY_PACKET_ACK, fake_holder.last_tag);
+	ck_assert_uint_eq(fake_holder.passed_on, 1);
 	ck_assert(fake_holder.forward.certain);
 	ck_assert_uint_eq(dy_flow_holder_count(fake_holder.holder), 0);
 	fake_holder_end();
@@ -344,21 +357,21 @@
 int main(void)
 {
 	const TTest *const tests[] = {
-		report_counts_what_came_straight,
-		flow_opened_before_the_first_notice_of_a_start_is_kept,
-		flow_that_a_new_start_gives_back_is_over,
-		flow_is_opened_and_its_balancer_told,
-		packet_of_another_targets_opening_is_passed_on,
-		restarted_agent_asks_its_target,
-		flows_end_with_their_targets_start,
-		search_goes_past_a_silent_target,
-		downloads_are_not_steady,
-		bounce_that_is_not_known_is_dropped,
-		load_is_learned_from_what_passes,
-		flow_that_both_ended_counts_no_more,
-		flows_without_packets_are_forgotten,
-		only_balancers_that_send_are_told_of_the_load,
-		stopping_agent_takes_no_opening,
+		counts_only_direct_messages_in_report,
+		keeps_flow_opened_before_first_notice_of_instance,
+		drops_flow_bounced_by_new_instance,
+		opens_flow_and_informs_balancer,
+		passes_on_ack_of_other_targets_syn,
+		sends_unknown_flow_to_target_after_agent_restart,
+		drops_flows_when_target_restarts,
+		passes_on_search_when_target_is_silent,
+		excludes_downloads_from_low_rate_flows,
+		drops_bounce_with_unknown_tag,
+		derives_load_from_packets,
+		does_not_count_flow_after_both_ends_finish,
+		expires_idle_and_half_open_flows,
+		stops_reports_to_balancer_after_ttl,
+		passes_on_opening_while_stopping,
 		NULL,
 	};
 
--- a/tests/test_flow_ledger.c
+++ b/tests/test_flow_ledger.c
@@ -5,38 +5,41 @@
 #include "damaskyard/flow_holder.h"
 #include "fake_suite.h"
 
-/* What was given back last. */
+/* Result of the last read_list(). */
 static struct {
 	unsigned parts;
 	unsigned flows;
 	uint32_t list;
 	unsigned first_port;
 	uint64_t made_ms;
-} given;
+} list_read;
 
 static void on_part(void *context, dy_ledger_part_t *part)
 {
 	(void)context;
 	if (!part->part)
-		given.first_port =
+		list_read.first_port =
 			part->flows.flows_len
 				? part->flows.flows_val[0].flow.caller_port
 				: 0;
-	given.parts++;
-	given.flows += part->flows.flows_len;
-	given.list = part->list;
-	given.made_ms = part->made_ms;
+	list_read.parts++;
+	list_read.flows += part->flows.flows_len;
+	list_read.list = part->list;
+	list_read.made_ms = part->made_ms;
 }
 
-static unsigned give(const dy_flow_ledger_t *ledger, const char *agent)
+static unsigned read_list(const dy_flow_ledger_t *ledger, const char *agent)
 {
-	memset(&given, 0, sizeof(given));
+	memset(&list_read, 0, sizeof(list_read));
 	return dy_flow_ledger_each_part(ledger, agent, on_part, NULL);
 }
 
-/* A part of so many flows; their ports begin with the list's number. */
-static int take(dy_flow_ledger_t *ledger, const char *agent, uint32_t list,
-		unsigned number, unsigned parts, unsigned count)
+/*
+ * Adds a part with count flows. Their ports start at 1000 times the list's
+ * number.
+ */
+static int add_part(dy_flow_ledger_t *ledger, const char *agent, uint32_t list,
+		    unsigned number, unsigned parts, unsigned count)
 {
 	dy_ledger_flow_t flows[DY_LEDGER_FLOWS] = { 0 };
 	char target[] = "t1";
@@ -59,83 +62,86 @@
 }
 
 /*
- * A part of a list is lost on its way, and then power is. Half of a list must
- * not take the place of a whole one.
+ * A part of a list is lost, and then the power. Guards against an incomplete
+ * list that replaces a complete one.
  */
-START_TEST(list_counts_once_it_is_whole)
+START_TEST(replaces_list_only_when_complete)
 {
 	dy_flow_ledger_t *ledger = dy_flow_ledger_create();
 
-	ck_assert_uint_eq(give(ledger, "a"), 0);
-	ck_assert(!take(ledger, "a", 1, 0, 2, DY_LEDGER_FLOWS));
-	ck_assert_uint_eq(give(ledger, "a"), 0);
-	ck_assert(!take(ledger, "a", 1, 0, 2, DY_LEDGER_FLOWS));
-	ck_assert(take(ledger, "a", 1, 1, 2, 5));
-	ck_assert_uint_eq(give(ledger, "a"), 2);
-	ck_assert_uint_eq(given.flows, DY_LEDGER_FLOWS + 5);
-	ck_assert(!take(ledger, "a", 2, 1, 2, 3));
-	give(ledger, "a");
-	ck_assert_uint_eq(given.list, 1);
-	ck_assert(take(ledger, "a", 3, 0, 1, 0));
-	ck_assert_uint_eq(give(ledger, "a"), 1);
-	ck_assert_uint_eq(given.flows, 0);
-	ck_assert_uint_eq(give(ledger, "b"), 0);
+	ck_assert_uint_eq(read_list(ledger, "a"), 0);
+	ck_assert(!add_part(ledger, "a", 1, 0, 2, DY_LEDGER_FLOWS));
+	ck_assert_uint_eq(read_list(ledger, "a"), 0);
+	ck_assert(!add_part(ledger, "a", 1, 0, 2, DY_LEDGER_FLOWS));
+	ck_assert(add_part(ledger, "a", 1, 1, 2, 5));
+	ck_assert_uint_eq(read_list(ledger, "a"), 2);
+	ck_assert_uint_eq(list_read.flows, DY_LEDGER_FLOWS + 5);
+	ck_assert(!add_part(ledger, "a", 2, 1, 2, 3));
+	read_list(ledger, "a");
+	ck_assert_uint_eq(list_read.list, 1);
+	ck_assert(add_part(ledger, "a", 3, 0, 1, 0));
+	ck_assert_uint_eq(read_list(ledger, "a"), 1);
+	ck_assert_uint_eq(list_read.flows, 0);
+	ck_assert_uint_eq(read_list(ledger, "b"), 0);
 	dy_flow_ledger_destroy(ledger);
 }
 END_TEST
 
-/* Numbers that no agent sends. */
-START_TEST(parts_that_make_no_sense_are_left_out)
+/* Part numbers that no agent sends. */
+START_TEST(refuses_invalid_parts)
 {
 	dy_flow_ledger_t *ledger = dy_flow_ledger_create();
 
-	ck_assert(!take(ledger, "a", 1, 0, 0, 1));
-	ck_assert(!take(ledger, "a", 1, 2, 2, 1));
-	ck_assert(!take(ledger, "a", 1, 0, DY_LEDGER_PARTS_MAX + 1, 1));
-	ck_assert_uint_eq(give(ledger, "a"), 0);
+	ck_assert(!add_part(ledger, "a", 1, 0, 0, 1));
+	ck_assert(!add_part(ledger, "a", 1, 2, 2, 1));
+	ck_assert(!add_part(ledger, "a", 1, 0, DY_LEDGER_PARTS_MAX + 1, 1));
+	ck_assert_uint_eq(read_list(ledger, "a"), 0);
 	dy_flow_ledger_destroy(ledger);
 }
 END_TEST
 
-/* Power is lost, and the control starts from what it had written. */
-START_TEST(lists_outlive_the_process)
+/* Power is lost, and the control restarts from what it had written. */
+START_TEST(restores_written_lists)
 {
 	dy_flow_ledger_t *ledger = dy_flow_ledger_create();
 	dy_flow_ledger_t *next = dy_flow_ledger_create();
 	GByteArray *bytes = g_byte_array_new();
 
-	take(ledger, "a", 1, 0, 2, DY_LEDGER_FLOWS);
-	take(ledger, "a", 1, 1, 2, 1);
-	take(ledger, "b", 4, 0, 1, 2);
-	take(ledger, "c", 5, 0, 2, 2);
+	add_part(ledger, "a", 1, 0, 2, DY_LEDGER_FLOWS);
+	add_part(ledger, "a", 1, 1, 2, 1);
+	add_part(ledger, "b", 4, 0, 1, 2);
+	add_part(ledger, "c", 5, 0, 2, 2);
 	dy_flow_ledger_write(ledger, bytes);
 	dy_flow_ledger_load(next, bytes->data, bytes->len);
-	ck_assert_uint_eq(give(next, "a"), 2);
-	ck_assert_uint_eq(given.flows, DY_LEDGER_FLOWS + 1);
-	ck_assert_uint_eq(given.first_port, 1000);
-	ck_assert_uint_eq(given.made_ms, 5001);
-	ck_assert_uint_eq(give(next, "b"), 1);
-	ck_assert_uint_eq(give(next, "c"), 0);
+	ck_assert_uint_eq(read_list(next, "a"), 2);
+	ck_assert_uint_eq(list_read.flows, DY_LEDGER_FLOWS + 1);
+	ck_assert_uint_eq(list_read.first_port, 1000);
+	ck_assert_uint_eq(list_read.made_ms, 5001);
+	ck_assert_uint_eq(read_list(next, "b"), 1);
+	ck_assert_uint_eq(read_list(next, "c"), 0);
 	g_byte_array_unref(bytes);
 	dy_flow_ledger_destroy(ledger);
 	dy_flow_ledger_destroy(next);
 }
 END_TEST
 
-/* Bytes that end too early, wherever: what is whole is taken. */
-START_TEST(bytes_that_end_early_are_read_as_far_as_they_go)
+/*
+ * Truncated bytes of any length must be read without errors up to the last
+ * complete part.
+ */
+START_TEST(loads_truncated_bytes_up_to_last_complete_part)
 {
 	dy_flow_ledger_t *ledger = dy_flow_ledger_create();
 	dy_flow_ledger_t *next;
 	GByteArray *bytes = g_byte_array_new();
 	guint len;
 
-	take(ledger, "a", 1, 0, 1, 3);
+	add_part(ledger, "a", 1, 0, 1, 3);
 	dy_flow_ledger_write(ledger, bytes);
 	for (len = 0; len < bytes->len; len++) {
 		next = dy_flow_ledger_create();
 		dy_flow_ledger_load(next, bytes->data, len);
-		ck_assert_uint_eq(give(next, "a"), 0);
+		ck_assert_uint_eq(read_list(next, "a"), 0);
 		dy_flow_ledger_destroy(next);
 	}
 	g_byte_array_unref(bytes);
@@ -143,8 +149,8 @@
 }
 END_TEST
 
-/* More flows than there is room for: a list is refused, those held stay. */
-START_TEST(lists_are_bounded)
+/* A list above the capacity is refused, and the stored lists stay. */
+START_TEST(refuses_list_above_capacity)
 {
 	dy_flow_ledger_t *ledger = dy_flow_ledger_create();
 	unsigned lists = DY_LEDGER_FLOWS_MAX / DY_LEDGER_FLOWS;
@@ -153,17 +159,20 @@
 
 	for (i = 0; i < lists; i++) {
 		g_snprintf(agent, sizeof(agent), "a%u", i);
-		ck_assert(take(ledger, agent, 1, 0, 1, DY_LEDGER_FLOWS));
+		ck_assert(add_part(ledger, agent, 1, 0, 1, DY_LEDGER_FLOWS));
 	}
-	ck_assert(!take(ledger, "more", 1, 0, 1, DY_LEDGER_FLOWS));
-	ck_assert(take(ledger, "a0", 2, 0, 1, DY_LEDGER_FLOWS));
-	ck_assert_uint_eq(give(ledger, "more"), 0);
+	ck_assert(!add_part(ledger, "more", 1, 0, 1, DY_LEDGER_FLOWS));
+	ck_assert(add_part(ledger, "a0", 2, 0, 1, DY_LEDGER_FLOWS));
+	ck_assert_uint_eq(read_list(ledger, "more"), 0);
 	dy_flow_ledger_destroy(ledger);
 }
 END_TEST
 
-/* All disks that may be lost at once held the only copies of a list. */
-START_TEST(a_copy_is_left_when_disks_are_lost)
+/*
+ * Guards against a list whose only copies are on the disks that may be lost at
+ * once.
+ */
+START_TEST(writes_more_copies_than_losses)
 {
 	unsigned losses;
 
@@ -174,8 +183,11 @@
 }
 END_TEST
 
-/* A reset by an old list names a byte that its caller has long passed. */
-START_TEST(list_is_believed_while_its_resets_fit)
+/*
+ * Guards against resets from an old list, whose sequence numbers the caller has
+ * long passed.
+ */
+START_TEST(expires_list_before_resets_leave_window)
 {
 	uint32_t pause_ms;
 	uint64_t bytes;
@@ -193,13 +205,13 @@
 int main(void)
 {
 	const TTest *const tests[] = {
-		list_counts_once_it_is_whole,
-		parts_that_make_no_sense_are_left_out,
-		lists_outlive_the_process,
-		bytes_that_end_early_are_read_as_far_as_they_go,
-		lists_are_bounded,
-		a_copy_is_left_when_disks_are_lost,
-		list_is_believed_while_its_resets_fit,
+		replaces_list_only_when_complete,
+		refuses_invalid_parts,
+		restores_written_lists,
+		loads_truncated_bytes_up_to_last_complete_part,
+		refuses_list_above_capacity,
+		writes_more_copies_than_losses,
+		expires_list_before_resets_leave_window,
 		NULL,
 	};
 
--- a/tests/test_flow_openings.c
+++ b/tests/test_flow_openings.c
@@ -4,63 +4,67 @@
 #include "fake_holder.h"
 #include "fake_suite.h"
 
-/* A balancer's list is old: a flow of the maps must not open here. */
-START_TEST(opening_for_another_service_is_passed_on)
+/*
+ * A balancer's member list is outdated. A flow of another service must not open
+ * here.
+ */
+START_TEST(passes_on_opening_for_other_service)
 {
-	dy_packet_t made = fake_holder_packet(1, DY_PACKET_SYN, 1, 0, 0);
+	dy_packet_t packet = fake_holder_packet(1, DY_PACKET_SYN, 1, 0, 0);
 
 	fake_holder_begin();
-	fake_holder_forward_for("maps", &made, 2);
-	ck_assert_uint_eq(fake_holder.given, 0);
-	ck_assert_uint_eq(fake_holder.passed, 1);
+	fake_holder_send_forward("maps", &packet, 2);
+	ck_assert_uint_eq(fake_holder.sent_to_target, 0);
+	ck_assert_uint_eq(fake_holder.passed_on, 1);
 	ck_assert_uint_eq(fake_holder.forward.step, 1);
 	fake_holder_end();
 }
 END_TEST
 
 /*
- * Several balancers open flows within one moment, and each knows only its own:
- * one target queues while another is idle. The agent knows, and passes on; but
- * the last choice of a balancer takes what comes, since a refusal helps nobody.
+ * Several balancers open flows at the same time, and each sees only its own.
+ * Without the agent, one target queues while another is idle. The last
+ * candidate takes the opening anyway, because a refusal helps nobody.
  */
-START_TEST(overloaded_target_passes_openings_on)
+START_TEST(passes_on_openings_above_capacity)
 {
-	dy_packet_t made;
+	dy_packet_t packet;
 	unsigned i;
 
 	fake_holder_begin();
-	for (i = 0; i < FAKE_HOLDER_ROOM; i++)
+	for (i = 0; i < FAKE_HOLDER_CAPACITY; i++)
 		fake_holder_from_caller(i, DY_PACKET_SYN, 0, 0);
-	ck_assert_uint_eq(fake_holder.passed, 0);
+	ck_assert_uint_eq(fake_holder.passed_on, 0);
 	fake_holder_from_caller(50, DY_PACKET_SYN, 0, 0);
-	ck_assert_uint_eq(fake_holder.passed, 1);
-	made = fake_holder_packet(51, DY_PACKET_SYN, 1, 0, 0);
-	fake_holder_forward_for(FAKE_HOLDER_SERVICE, &made, 1);
-	ck_assert_uint_eq(fake_holder.passed, 1);
-	ck_assert_uint_eq(fake_holder.nowheres, 0);
-	ck_assert_uint_eq(fake_holder.given, FAKE_HOLDER_ROOM);
+	ck_assert_uint_eq(fake_holder.passed_on, 1);
+	packet = fake_holder_packet(51, DY_PACKET_SYN, 1, 0, 0);
+	fake_holder_send_forward(FAKE_HOLDER_SERVICE, &packet, 1);
+	ck_assert_uint_eq(fake_holder.passed_on, 1);
+	ck_assert_uint_eq(fake_holder.nowhere_count, 0);
+	ck_assert_uint_eq(fake_holder.sent_to_target, FAKE_HOLDER_CAPACITY);
 	fake_holder_end();
 }
 END_TEST
 
-/* Openings that the target has room for, each with a request. */
+/* Opens as many flows as the target has capacity for, each with a request. */
 static void fill_target(void)
 {
 	unsigned i;
 
-	for (i = 0; i < FAKE_HOLDER_ROOM; i++) {
+	for (i = 0; i < FAKE_HOLDER_CAPACITY; i++) {
 		fake_holder_open_flow(i);
 		fake_holder_from_caller(i, DY_PACKET_ACK, 501, 90);
 	}
-	fake_holder.given = 0;
+	fake_holder.sent_to_target = 0;
 }
 
-/* An opening for which this agent is the last choice. */
-static void last_choice(unsigned flow, uint32_t copy)
+/* Sends an opening for which this agent is the last candidate. */
+static void send_to_last_candidate(unsigned flow, uint32_t copy)
 {
-	dy_packet_t made = fake_holder_packet(flow, DY_PACKET_SYN, 1, copy, 0);
+	dy_packet_t packet =
+		fake_holder_packet(flow, DY_PACKET_SYN, 1, copy, 0);
 
-	fake_holder_forward_for(FAKE_HOLDER_SERVICE, &made, 1);
+	fake_holder_send_forward(FAKE_HOLDER_SERVICE, &packet, 1);
 }
 
 static void answer(unsigned flow)
@@ -69,29 +73,30 @@
 }
 
 /*
- * All callers open flows at once, and each target has what it can answer in
- * time. The target would queue some and refuse the rest, who come back at
- * once. They wait here instead, and the youngest can still be in time.
+ * All callers open flows at once, and each target has as many requests as it
+ * can answer in time. Without the queue the target would queue some and refuse
+ * the rest, whose callers retry at once. The newest queued opening can still be
+ * in time.
  */
-START_TEST(openings_wait_for_room_the_youngest_goes_first)
+START_TEST(admits_newest_queued_opening_first)
 {
 	fake_holder_begin();
 	fill_target();
-	last_choice(50, 0);
-	ck_assert(fake_holder.helds && !fake_holder.held.open);
-	last_choice(51, 0);
-	last_choice(50, 1);
-	ck_assert_uint_eq(fake_holder.given, 0);
+	send_to_last_candidate(50, 0);
+	ck_assert(fake_holder.held_count && !fake_holder.held.open);
+	send_to_last_candidate(51, 0);
+	send_to_last_candidate(50, 1);
+	ck_assert_uint_eq(fake_holder.sent_to_target, 0);
 	ck_assert_uint_eq(dy_flow_holder_count(fake_holder.holder),
-			  FAKE_HOLDER_ROOM);
+			  FAKE_HOLDER_CAPACITY);
 	answer(0);
-	ck_assert_uint_eq(fake_holder.given, 0);
+	ck_assert_uint_eq(fake_holder.sent_to_target, 0);
 	answer(1);
-	ck_assert_uint_eq(fake_holder.given, 1);
+	ck_assert_uint_eq(fake_holder.sent_to_target, 1);
 	fake_holder_from_target(51, DY_PACKET_SYN | DY_PACKET_ACK, 500, 0);
 	ck_assert_uint_eq(fake_holder.held.flow.caller_port, 1024 + 51);
 	answer(2);
-	ck_assert_uint_eq(fake_holder.given, 2);
+	ck_assert_uint_eq(fake_holder.sent_to_target, 2);
 	fake_holder_from_target(50, DY_PACKET_SYN | DY_PACKET_ACK, 500, 0);
 	ck_assert_uint_eq(fake_holder.held.flow.caller_port, 1024 + 50);
 	fake_holder_end();
@@ -100,68 +105,75 @@
 
 /*
  * Power is back: hundreds of openings have waited, here or at their callers,
- * and cannot be answered in time any more. Taken as soon as there is room for
- * one they would leave none to a caller that comes now and still can be.
+ * and cannot be answered in time any more. Guards against admitting them with
+ * every free capacity, which leaves none for a new caller that can still be
+ * answered in time.
  */
-START_TEST(room_is_left_to_an_opening_that_has_just_come)
+START_TEST(reserves_capacity_for_new_opening)
 {
 	fake_holder_begin();
 	fill_target();
-	last_choice(50, 0);
+	send_to_last_candidate(50, 0);
 	answer(0);
 	fake_holder_from_caller(60, DY_PACKET_SYN, 2, 0);
-	ck_assert_uint_eq(fake_holder.given, 0);
-	ck_assert_uint_eq(fake_holder.passed, 1);
+	ck_assert_uint_eq(fake_holder.sent_to_target, 0);
+	ck_assert_uint_eq(fake_holder.passed_on, 1);
 	fake_holder_from_caller(61, DY_PACKET_SYN, 0, 0);
-	ck_assert_uint_eq(fake_holder.given, 1);
+	ck_assert_uint_eq(fake_holder.sent_to_target, 1);
 	fake_holder_from_target(61, DY_PACKET_SYN | DY_PACKET_ACK, 500, 0);
 	ck_assert_uint_eq(fake_holder.held.flow.caller_port, 1024 + 61);
 	fake_holder_end();
 }
 END_TEST
 
-/* There is no room in time: the caller is told while it has time to retry. */
-START_TEST(opening_that_waits_too_long_is_refused)
+/*
+ * No capacity becomes free in time: the caller must be refused while it has
+ * time for a retry.
+ */
+START_TEST(refuses_opening_after_maximum_wait)
 {
 	fake_holder_begin();
 	fill_target();
-	last_choice(50, 0);
+	send_to_last_candidate(50, 0);
 	fake_holder.now_ms += DY_OPENING_WAIT_MAX_MS - 1;
 	dy_flow_holder_tick(fake_holder.holder, fake_holder.now_ms);
-	ck_assert_uint_eq(fake_holder.nowheres, 0);
+	ck_assert_uint_eq(fake_holder.nowhere_count, 0);
 	fake_holder.now_ms++;
 	dy_flow_holder_tick(fake_holder.holder, fake_holder.now_ms);
-	ck_assert_uint_eq(fake_holder.nowheres, 1);
+	ck_assert_uint_eq(fake_holder.nowhere_count, 1);
 	ck_assert_int_eq(fake_holder.nowhere.reason, DY_FLOW_REFUSED);
 	answer(0);
-	ck_assert_uint_eq(fake_holder.given, 0);
+	ck_assert_uint_eq(fake_holder.sent_to_target, 0);
 	fake_holder_end();
 }
 END_TEST
 
 /*
- * The target says that it leaves while openings wait for it. Given to it
- * seconds later they would be new work for a target that was to have none.
+ * The target starts to drain while openings are queued for it. Sent to it
+ * seconds later they would be new work for a draining target.
  */
-START_TEST(openings_that_wait_do_not_reach_a_draining_target)
+START_TEST(refuses_queued_openings_when_target_drains)
 {
 	fake_holder_begin();
 	fill_target();
-	last_choice(50, 0);
+	send_to_last_candidate(50, 0);
 	ck_assert(fake_holder_announce(2, DY_TARGET_DRAINING));
 	answer(0);
-	ck_assert_uint_eq(fake_holder.given, 0);
-	ck_assert_uint_eq(fake_holder.nowheres, 1);
+	ck_assert_uint_eq(fake_holder.sent_to_target, 0);
+	ck_assert_uint_eq(fake_holder.nowhere_count, 1);
 	fake_holder_end();
 }
 END_TEST
 
-/* What a cold target with ten openings a second is given in any second. */
-#define COLD_MOST \
+/* Limit per window of a cold target with ten openings per second. */
+#define COLD_MAX \
 	((unsigned)(10 * FAKE_HOLDER_COLD_OVERSHOOT + FAKE_HOLDER_COLD_SLACK))
 
-/* A cold target that bears ten openings a second, its agent there from start */
-static void begin_cold(void)
+/*
+ * Creates a holder that saw the start of a cold target with ten openings per
+ * second.
+ */
+static void create_cold(void)
 {
 	fake_holder_create();
 	fake_holder.cold_openings = 10000;
@@ -169,7 +181,9 @@
 	ck_assert(fake_holder_announce(1, DY_TARGET_READY));
 }
 
-/* Openings of many balancers, one each 5 ms, each answered and ended at once.
+/*
+ * Sends openings of many balancers, one every 5 ms, each responded to and ended
+ * at once.
  */
 static void burst(unsigned first, unsigned count)
 {
@@ -182,50 +196,54 @@
 	}
 }
 
-/* A domain returns in a burst, and each balancer opens its share at one target
+/*
+ * A failure domain returns with a burst of openings, and every balancer sends
+ * its share to one target.
  */
-START_TEST(cold_target_is_given_its_rate_and_the_rest_goes_on)
+START_TEST(limits_openings_to_cold_target)
 {
-	begin_cold();
+	create_cold();
 	burst(0, 200);
-	ck_assert_uint_eq(fake_holder.given, COLD_MOST);
-	ck_assert_uint_eq(fake_holder.passed, 200 - COLD_MOST);
-	ck_assert_uint_eq(fake_holder.nowheres, 0);
-	/* Another second: the rate is filled, and not exceeded. */
+	ck_assert_uint_eq(fake_holder.sent_to_target, COLD_MAX);
+	ck_assert_uint_eq(fake_holder.passed_on, 200 - COLD_MAX);
+	ck_assert_uint_eq(fake_holder.nowhere_count, 0);
+	/* Another second: the rate is reached but not exceeded. */
 	burst(200, 200);
-	ck_assert_uint_le(fake_holder.given, 2 * COLD_MOST);
-	ck_assert_uint_ge(fake_holder.given, 2 * COLD_MOST * 9 / 10);
-	/* Warm, and a window later. */
+	ck_assert_uint_le(fake_holder.sent_to_target, 2 * COLD_MAX);
+	ck_assert_uint_ge(fake_holder.sent_to_target, 2 * COLD_MAX * 9 / 10);
+	/* No longer cold, and one window later. */
 	fake_holder.now_ms += 1100;
-	fake_holder.given = 0;
+	fake_holder.sent_to_target = 0;
 	burst(400, 200);
-	ck_assert_uint_eq(fake_holder.given, 200);
+	ck_assert_uint_eq(fake_holder.sent_to_target, 200);
 	fake_holder_end();
 }
 END_TEST
 
-/* The last choice of a balancer exceeds the rate since it must take what comes
- */
-START_TEST(cold_target_that_is_the_last_choice_lets_openings_wait)
+/* Guards against exceeding the rate at the last candidate. */
+START_TEST(queues_openings_at_cold_last_candidate)
 {
-	dy_packet_t made = fake_holder_packet(900, DY_PACKET_SYN, 1, 0, 0);
+	dy_packet_t packet = fake_holder_packet(900, DY_PACKET_SYN, 1, 0, 0);
 
-	begin_cold();
-	burst(0, COLD_MOST);
-	fake_holder.given = 0;
-	fake_holder_forward_for(FAKE_HOLDER_SERVICE, &made, 1);
-	ck_assert_uint_eq(fake_holder.given, 0);
+	create_cold();
+	burst(0, COLD_MAX);
+	fake_holder.sent_to_target = 0;
+	fake_holder_send_forward(FAKE_HOLDER_SERVICE, &packet, 1);
+	ck_assert_uint_eq(fake_holder.sent_to_target, 0);
 	fake_holder.now_ms += DY_OPENING_WAIT_MAX_MS;
 	dy_flow_holder_tick(fake_holder.holder, fake_holder.now_ms);
-	ck_assert_uint_eq(fake_holder.given, 0);
-	ck_assert_uint_eq(fake_holder.nowheres, 1);
+	ck_assert_uint_eq(fake_holder.sent_to_target, 0);
+	ck_assert_uint_eq(fake_holder.nowhere_count, 1);
 	ck_assert_int_eq(fake_holder.nowhere.reason, DY_FLOW_REFUSED);
 	fake_holder_end();
 }
 END_TEST
 
-/* An agent that starts beside a cold target lets a second rate in at once. */
-START_TEST(agent_that_comes_later_counts_what_it_did_not_see)
+/*
+ * Guards against an agent that restarts beside a cold target and admits the
+ * rate once more, because it did not see the earlier openings.
+ */
+START_TEST(waits_one_window_after_agent_restart_beside_cold_target)
 {
 	dy_target_notice_t notice;
 
@@ -236,76 +254,80 @@
 	ck_assert(dy_flow_holder_receive_notice(fake_holder.holder, &notice,
 						fake_holder.now_ms));
 	burst(0, 10);
-	ck_assert_uint_eq(fake_holder.given, 0);
+	ck_assert_uint_eq(fake_holder.sent_to_target, 0);
 	fake_holder.now_ms += 1100;
 	burst(10, 10);
-	ck_assert_uint_eq(fake_holder.given, 10);
+	ck_assert_uint_eq(fake_holder.sent_to_target, 10);
 	fake_holder_end();
 }
 END_TEST
 
-/* A balancer that has not heard of an evacuation opens a flow here. */
-START_TEST(evacuated_target_takes_no_opening_and_keeps_its_flows)
+/* A balancer that has not learned of an evacuation opens a flow here. */
+START_TEST(admits_no_opening_but_keeps_flows_while_evacuated)
 {
 	fake_holder_begin();
 	fake_holder_open_flow(1);
 	dy_flow_holder_set_evacuated(fake_holder.holder, 1, fake_holder.now_ms);
 	ck_assert(dy_flow_holder_is_serving(fake_holder.holder));
-	fake_holder.given = 0;
+	fake_holder.sent_to_target = 0;
 	fake_holder_from_caller(2, DY_PACKET_SYN, 0, 0);
-	ck_assert_uint_eq(fake_holder.given, 0);
-	ck_assert_uint_eq(fake_holder.passed, 1);
+	ck_assert_uint_eq(fake_holder.sent_to_target, 0);
+	ck_assert_uint_eq(fake_holder.passed_on, 1);
 	fake_holder_from_caller(1, DY_PACKET_ACK, 501, 90);
-	ck_assert_uint_eq(fake_holder.given, 1);
+	ck_assert_uint_eq(fake_holder.sent_to_target, 1);
 	dy_flow_holder_set_evacuated(fake_holder.holder, 0, fake_holder.now_ms);
 	fake_holder_from_caller(3, DY_PACKET_SYN, 0, 0);
-	ck_assert_uint_eq(fake_holder.given, 2);
+	ck_assert_uint_eq(fake_holder.sent_to_target, 2);
 	fake_holder_end();
 }
 END_TEST
 
-/* An opening that waited before an evacuation is let in after it. */
-START_TEST(openings_that_wait_leave_an_evacuated_target)
+/*
+ * Guards against admitting openings after an evacuation that were queued before
+ * it.
+ */
+START_TEST(refuses_queued_openings_on_evacuation)
 {
 	fake_holder_begin();
 	fill_target();
-	last_choice(50, 0);
+	send_to_last_candidate(50, 0);
 	dy_flow_holder_set_evacuated(fake_holder.holder, 1, fake_holder.now_ms);
-	ck_assert_uint_eq(fake_holder.nowheres, 1);
+	ck_assert_uint_eq(fake_holder.nowhere_count, 1);
 	answer(0);
-	ck_assert_uint_eq(fake_holder.given, 0);
+	ck_assert_uint_eq(fake_holder.sent_to_target, 0);
 	fake_holder_end();
 }
 END_TEST
 
 /*
- * Callers gave their openings up while all power was gone. The target answers
- * them, nobody takes the answer up, and for seconds they seem to fill it.
+ * Callers abandoned their openings while all power was gone. The target
+ * responds to them, no request follows, and for seconds they seem to take up
+ * its capacity.
  */
-START_TEST(openings_given_up_leave_room)
+START_TEST(frees_capacity_of_abandoned_openings)
 {
 	unsigned i;
 
 	fake_holder_begin();
-	for (i = 0; i < FAKE_HOLDER_ROOM; i++) {
+	for (i = 0; i < FAKE_HOLDER_CAPACITY; i++) {
 		fake_holder_from_caller(i, DY_PACKET_SYN, 0, 0);
 		fake_holder_from_target(i, DY_PACKET_SYN | DY_PACKET_ACK, 500,
 					0);
 	}
-	last_choice(50, 0);
-	ck_assert_uint_eq(fake_holder.given, FAKE_HOLDER_ROOM);
+	send_to_last_candidate(50, 0);
+	ck_assert_uint_eq(fake_holder.sent_to_target, FAKE_HOLDER_CAPACITY);
 	fake_holder.now_ms += DY_FIRST_REQUEST_TIMEOUT_MS + 1;
 	dy_flow_holder_tick(fake_holder.holder, fake_holder.now_ms);
-	ck_assert_uint_eq(fake_holder.given, FAKE_HOLDER_ROOM + 1);
+	ck_assert_uint_eq(fake_holder.sent_to_target, FAKE_HOLDER_CAPACITY + 1);
 	fake_holder_end();
 }
 END_TEST
 
 /*
- * A target answers some requests never, though its health is good. Each would
- * take a place of those that it can have, until there are none.
+ * A target with good health never answers some requests. Guards against each of
+ * them taking up capacity until none is left.
  */
-START_TEST(requests_without_an_answer_are_forgotten)
+START_TEST(expires_unanswered_requests)
 {
 	fake_holder_begin();
 	fill_target();
@@ -313,33 +335,36 @@
 	ck_assert(fake_holder_announce(2, DY_TARGET_READY));
 	dy_flow_holder_tick(fake_holder.holder, fake_holder.now_ms);
 	ck_assert_uint_eq(fake_holder.report.load.busy, 0);
-	last_choice(50, 0);
-	ck_assert_uint_eq(fake_holder.given, 1);
+	send_to_last_candidate(50, 0);
+	ck_assert_uint_eq(fake_holder.sent_to_target, 1);
 	fake_holder_end();
 }
 END_TEST
 
-/* Nobody takes it: the balancer is told at once, so that it refuses. */
-START_TEST(opening_that_nobody_takes_is_told)
+/*
+ * No candidate is left: the balancer must learn it at once to refuse the
+ * opening.
+ */
+START_TEST(reports_opening_without_candidates_as_refused)
 {
-	dy_packet_t made = fake_holder_packet(1, DY_PACKET_SYN, 1, 0, 0);
+	dy_packet_t packet = fake_holder_packet(1, DY_PACKET_SYN, 1, 0, 0);
 
 	fake_holder_create();
-	fake_holder_forward_for(FAKE_HOLDER_SERVICE, &made, 1);
-	ck_assert_uint_eq(fake_holder.given, 0);
-	ck_assert_uint_eq(fake_holder.nowheres, 1);
+	fake_holder_send_forward(FAKE_HOLDER_SERVICE, &packet, 1);
+	ck_assert_uint_eq(fake_holder.sent_to_target, 0);
+	ck_assert_uint_eq(fake_holder.nowhere_count, 1);
 	ck_assert_int_eq(fake_holder.nowhere.reason, DY_FLOW_REFUSED);
 	fake_holder_end();
 }
 END_TEST
 
-/* The target is full and gives the opening packet back. */
-START_TEST(opening_that_the_target_gives_back_goes_on)
+/* The target is at its limit and bounces the SYN. */
+START_TEST(passes_on_bounced_opening)
 {
 	fake_holder_begin();
 	fake_holder_from_caller(1, DY_PACKET_SYN, 0, 0);
-	fake_holder_give_back(1, DY_PACKET_SYN, fake_holder.note);
-	ck_assert_uint_eq(fake_holder.passed, 1);
+	fake_holder_bounce(1, DY_PACKET_SYN, fake_holder.last_tag);
+	ck_assert_uint_eq(fake_holder.passed_on, 1);
 	ck_assert_uint_eq(fake_holder.forward.step, 1);
 	ck_assert_uint_eq(dy_flow_holder_count(fake_holder.holder), 0);
 	fake_holder_end();
@@ -349,21 +374,21 @@
 int main(void)
 {
 	const TTest *const tests[] = {
-		opening_for_another_service_is_passed_on,
-		overloaded_target_passes_openings_on,
-		openings_wait_for_room_the_youngest_goes_first,
-		room_is_left_to_an_opening_that_has_just_come,
-		opening_that_waits_too_long_is_refused,
-		openings_that_wait_do_not_reach_a_draining_target,
-		cold_target_is_given_its_rate_and_the_rest_goes_on,
-		cold_target_that_is_the_last_choice_lets_openings_wait,
-		agent_that_comes_later_counts_what_it_did_not_see,
-		evacuated_target_takes_no_opening_and_keeps_its_flows,
-		openings_that_wait_leave_an_evacuated_target,
-		openings_given_up_leave_room,
-		requests_without_an_answer_are_forgotten,
-		opening_that_nobody_takes_is_told,
-		opening_that_the_target_gives_back_goes_on,
+		passes_on_opening_for_other_service,
+		passes_on_openings_above_capacity,
+		admits_newest_queued_opening_first,
+		reserves_capacity_for_new_opening,
+		refuses_opening_after_maximum_wait,
+		refuses_queued_openings_when_target_drains,
+		limits_openings_to_cold_target,
+		queues_openings_at_cold_last_candidate,
+		waits_one_window_after_agent_restart_beside_cold_target,
+		admits_no_opening_but_keeps_flows_while_evacuated,
+		refuses_queued_openings_on_evacuation,
+		frees_capacity_of_abandoned_openings,
+		expires_unanswered_requests,
+		reports_opening_without_candidates_as_refused,
+		passes_on_bounced_opening,
 		NULL,
 	};
 
--- a/tests/test_flow_presence.c
+++ b/tests/test_flow_presence.c
@@ -6,30 +6,30 @@
 #include "fake_suite.h"
 
 /*
- * A target says that it drains, and is told that this is known. A balancer
- * that has not heard of it sends one more opening packet: what is acknowledged
- * must be in force in the same step.
+ * A target announces that it drains and gets an acknowledgement. Then a
+ * balancer that has not learned of it sends one more SYN. The drain must be in
+ * effect as soon as it is acknowledged.
  */
-START_TEST(draining_is_in_force_once_acknowledged)
+START_TEST(refuses_openings_once_drain_is_acknowledged)
 {
 	fake_holder_begin();
 	fake_holder_open_flow(1);
 	ck_assert(fake_holder_announce(2, DY_TARGET_DRAINING));
 	ck_assert(!dy_flow_holder_accepts(fake_holder.holder));
 	fake_holder_from_caller(2, DY_PACKET_SYN, 0, 0);
-	ck_assert_uint_eq(fake_holder.passed, 1);
-	ck_assert_uint_eq(fake_holder.given, 2);
+	ck_assert_uint_eq(fake_holder.passed_on, 1);
+	ck_assert_uint_eq(fake_holder.sent_to_target, 2);
 	fake_holder_from_caller(1, DY_PACKET_ACK, 501, 90);
-	ck_assert_uint_eq(fake_holder.given, 3);
+	ck_assert_uint_eq(fake_holder.sent_to_target, 3);
 	fake_holder_end();
 }
 END_TEST
 
 /*
- * The notice of before the drain arrives after it. Taken as the newest it
- * would make a leaving target ready again.
+ * A notice from before the drain arrives after it. Guards against taking it for
+ * the newest one, which would make a draining target ready again.
  */
-START_TEST(late_notice_changes_nothing)
+START_TEST(ignores_late_notice)
 {
 	fake_holder_begin();
 	fake_holder_announce(3, DY_TARGET_DRAINING);
@@ -41,10 +41,10 @@
 END_TEST
 
 /*
- * A target has ended and another start is at its address. A notice of the
- * first, held up by a partition, arrives then.
+ * A target has ended and another instance uses its address. Then a notice of
+ * the first one arrives that a partition had delayed.
  */
-START_TEST(notice_of_an_earlier_start_changes_nothing)
+START_TEST(ignores_notice_of_earlier_instance)
 {
 	dy_target_notice_t later = fake_holder_notice(1, DY_TARGET_DRAINING);
 	dy_target_notice_t held_up = fake_holder_notice(90, DY_TARGET_READY);
@@ -61,9 +61,11 @@
 }
 END_TEST
 
-/* The clock was set back between two starts: the second has the earlier time
- * of start, and would never be believed. */
-START_TEST(start_with_an_earlier_clock_is_believed_in_the_end)
+/*
+ * The clock was set back between two instances. Guards against ignoring the
+ * second one forever, because its start time is earlier.
+ */
+START_TEST(accepts_instance_with_earlier_start_time_after_timeout)
 {
 	dy_target_notice_t later = fake_holder_notice(1, DY_TARGET_READY);
 
@@ -83,8 +85,8 @@
 }
 END_TEST
 
-/* An address is in use again by a server of another service. */
-START_TEST(notice_of_another_service_or_address_is_refused)
+/* An address is reused by a server of another service. */
+START_TEST(refuses_notice_of_other_service_or_address)
 {
 	dy_target_notice_t other = fake_holder_notice(2, DY_TARGET_READY);
 
@@ -102,53 +104,55 @@
 }
 END_TEST
 
-/* A tick after the target has owed an answer for too long. */
-static void owe(void)
+/* Runs a tick after the response timeout of the target. */
+static void exceed_response_timeout(void)
 {
 	fake_holder.now_ms += DY_TARGET_RESPONSE_TIMEOUT_MS;
 	dy_flow_holder_tick(fake_holder.holder, fake_holder.now_ms);
 }
 
-static void check_says(dy_port_state_t state)
+static void finish_port_check(dy_port_state_t state)
 {
 	dy_flow_holder_port_checked(fake_holder.holder, state,
 				    fake_holder.now_ms);
 }
 
 /*
- * A target crashes with open flows. Callers of idempotent requests would wait
- * for their deadlines, and new flows be opened into the void until its notices
- * are missed. Its port is checked once it owes an answer, and then again.
+ * A target crashes with open flows. Without the port checks, callers of
+ * idempotent requests wait for their deadlines, and new flows go to the dead
+ * target until the notice timeout. The port is checked after the response
+ * timeout, and once more.
  */
-START_TEST(crashed_target_loses_its_flows_at_once)
+START_TEST(drops_flows_after_two_refused_checks)
 {
 	fake_holder_begin();
-	ck_assert_uint_eq(fake_holder.checks, 1);
-	check_says(DY_PORT_LISTENING);
+	ck_assert_uint_eq(fake_holder.port_checks, 1);
+	finish_port_check(DY_PORT_LISTENING);
 	fake_holder_open_flow(1);
 	fake_holder_from_caller(1, DY_PACKET_ACK, 502, 90);
-	owe();
-	ck_assert_uint_eq(fake_holder.checks, 2);
-	check_says(DY_PORT_REFUSED);
+	exceed_response_timeout();
+	ck_assert_uint_eq(fake_holder.port_checks, 2);
+	finish_port_check(DY_PORT_REFUSED);
 	ck_assert(dy_flow_holder_accepts(fake_holder.holder));
-	owe();
-	ck_assert_uint_eq(fake_holder.checks, 3);
-	check_says(DY_PORT_REFUSED);
+	exceed_response_timeout();
+	ck_assert_uint_eq(fake_holder.port_checks, 3);
+	finish_port_check(DY_PORT_REFUSED);
 	ck_assert(!dy_flow_holder_accepts(fake_holder.holder));
 	ck_assert(dy_flow_holder_is_target_gone(fake_holder.holder));
 	ck_assert_uint_eq(dy_flow_holder_count(fake_holder.holder), 0);
 	fake_holder_from_caller(1, DY_PACKET_ACK, 502, 90);
-	ck_assert_uint_eq(fake_holder.passed, 1);
+	ck_assert_uint_eq(fake_holder.passed_on, 1);
 	ck_assert(fake_holder.forward.certain);
 	fake_holder_end();
 }
 END_TEST
 
 /*
- * A target that never listened at its port was stopped for seconds, with all
- * callers: the refusals say nothing, and its open flows must not be reset.
+ * A target that never listened on its port was paused for seconds, with all
+ * callers. The refused checks prove nothing, and its open flows must not be
+ * reset.
  */
-START_TEST(target_that_never_listened_is_not_taken_for_gone)
+START_TEST(keeps_flows_when_port_was_never_open)
 {
 	unsigned i;
 
@@ -156,8 +160,8 @@
 	fake_holder_open_flow(1);
 	fake_holder_from_caller(1, DY_PACKET_ACK, 502, 90);
 	for (i = 0; i < 5; i++) {
-		owe();
-		check_says(DY_PORT_REFUSED);
+		exceed_response_timeout();
+		finish_port_check(DY_PORT_REFUSED);
 	}
 	ck_assert(dy_flow_holder_accepts(fake_holder.holder));
 	ck_assert_uint_eq(dy_flow_holder_count(fake_holder.holder), 1);
@@ -166,21 +170,21 @@
 END_TEST
 
 /*
- * A busy target takes a second to answer. It listens, so its flows stay and it
- * is asked again only when it has owed an answer for as long once more.
+ * A busy target takes a second to answer. Its port is open, so its flows stay
+ * and the next check follows after another response timeout.
  */
-START_TEST(slow_target_keeps_its_flows)
+START_TEST(keeps_flows_of_slow_target)
 {
 	fake_holder_begin();
 	fake_holder_open_flow(1);
 	fake_holder_from_caller(1, DY_PACKET_ACK, 502, 90);
-	owe();
-	check_says(DY_PORT_LISTENING);
+	exceed_response_timeout();
+	finish_port_check(DY_PORT_LISTENING);
 	dy_flow_holder_tick(fake_holder.holder, fake_holder.now_ms + 1);
-	ck_assert_uint_eq(fake_holder.checks, 2);
-	owe();
-	ck_assert_uint_eq(fake_holder.checks, 3);
-	check_says(DY_PORT_UNKNOWN);
+	ck_assert_uint_eq(fake_holder.port_checks, 2);
+	exceed_response_timeout();
+	ck_assert_uint_eq(fake_holder.port_checks, 3);
+	finish_port_check(DY_PORT_UNKNOWN);
 	ck_assert(dy_flow_holder_accepts(fake_holder.holder));
 	ck_assert_uint_eq(dy_flow_holder_count(fake_holder.holder), 1);
 	fake_holder_end();
@@ -188,48 +192,48 @@
 END_TEST
 
 /*
- * A target's last answer arrives between two checks, or another start of it
- * does: one refusal before it counts for nothing.
+ * A target's last answer, or the notice of another instance, arrives between
+ * two checks. A refused check before it must not count.
  */
-START_TEST(sign_of_life_between_checks_counts)
+START_TEST(restarts_check_count_after_packet_or_notice)
 {
 	fake_holder_begin();
-	check_says(DY_PORT_LISTENING);
+	finish_port_check(DY_PORT_LISTENING);
 	fake_holder_open_flow(1);
 	fake_holder_from_caller(1, DY_PACKET_ACK, 502, 90);
-	owe();
-	check_says(DY_PORT_REFUSED);
+	exceed_response_timeout();
+	finish_port_check(DY_PORT_REFUSED);
 	fake_holder_from_target(1, DY_PACKET_ACK, 502, 300);
 	fake_holder_from_caller(1, DY_PACKET_ACK, 503, 90);
-	check_says(DY_PORT_REFUSED);
+	finish_port_check(DY_PORT_REFUSED);
 	ck_assert(dy_flow_holder_accepts(fake_holder.holder));
 	ck_assert_uint_eq(dy_flow_holder_count(fake_holder.holder), 1);
 	ck_assert(fake_holder_announce(2, DY_TARGET_READY));
-	check_says(DY_PORT_REFUSED);
+	finish_port_check(DY_PORT_REFUSED);
 	ck_assert(dy_flow_holder_accepts(fake_holder.holder));
 	fake_holder_end();
 }
 END_TEST
 
 /*
- * A VM whose target left is started again with all others after a loss of
- * power, and taken away for good seconds later. While it was there, balancers
- * searched it for each flow, and afterwards their searches ended at it.
+ * After a power loss a VM whose target had left starts again with all others,
+ * and is removed for good seconds later. Without the check, balancers search
+ * this agent for each flow meanwhile, and their searches end at it afterwards.
  */
-START_TEST(agent_without_a_target_is_empty)
+START_TEST(reports_target_gone_when_none_ever_listened)
 {
 	fake_holder_create();
 	ck_assert(!dy_flow_holder_is_target_gone(fake_holder.holder));
-	check_says(DY_PORT_REFUSED);
+	finish_port_check(DY_PORT_REFUSED);
 	ck_assert(dy_flow_holder_is_target_gone(fake_holder.holder));
 	fake_holder_from_caller(1, DY_PACKET_ACK, 501, 0);
-	ck_assert_uint_eq(fake_holder.given, 0);
+	ck_assert_uint_eq(fake_holder.sent_to_target, 0);
 	ck_assert(fake_holder.forward.certain);
 	ck_assert(fake_holder_announce(40, DY_TARGET_READY));
 	ck_assert(!dy_flow_holder_is_target_gone(fake_holder.holder));
 	ck_assert(dy_flow_holder_accepts(fake_holder.holder));
 	fake_holder_from_caller(2, DY_PACKET_ACK, 501, 0);
-	ck_assert_uint_eq(fake_holder.given, 0);
+	ck_assert_uint_eq(fake_holder.sent_to_target, 0);
 	fake_holder_end();
 }
 END_TEST
@@ -237,16 +241,16 @@
 int main(void)
 {
 	const TTest *const tests[] = {
-		draining_is_in_force_once_acknowledged,
-		late_notice_changes_nothing,
-		notice_of_an_earlier_start_changes_nothing,
-		start_with_an_earlier_clock_is_believed_in_the_end,
-		notice_of_another_service_or_address_is_refused,
-		crashed_target_loses_its_flows_at_once,
-		target_that_never_listened_is_not_taken_for_gone,
-		slow_target_keeps_its_flows,
-		sign_of_life_between_checks_counts,
-		agent_without_a_target_is_empty,
+		refuses_openings_once_drain_is_acknowledged,
+		ignores_late_notice,
+		ignores_notice_of_earlier_instance,
+		accepts_instance_with_earlier_start_time_after_timeout,
+		refuses_notice_of_other_service_or_address,
+		drops_flows_after_two_refused_checks,
+		keeps_flows_when_port_was_never_open,
+		keeps_flows_of_slow_target,
+		restarts_check_count_after_packet_or_notice,
+		reports_target_gone_when_none_ever_listened,
 		NULL,
 	};
 
--- a/tests/test_opening_queue.c
+++ b/tests/test_opening_queue.c
@@ -23,7 +23,7 @@
 	return dy_opening_queue_add(queue, &forward, &packet, now_ms);
 }
 
-/* What was taken owns what it points to. */
+/* A dequeued opening owns what it points to. */
 static void check_opening(const dy_opening_t *opening, unsigned flow,
 			  uint32_t copy)
 {
@@ -36,10 +36,10 @@
 }
 
 /*
- * All callers open flows at once. The oldest were opened before power was
- * back and cannot be answered in time any more; the youngest can.
+ * All callers open flows at once. The oldest openings are from before the power
+ * loss and cannot be answered in time any more; the newest can.
  */
-START_TEST(youngest_is_taken_first)
+START_TEST(dequeues_newest_first)
 {
 	dy_opening_t opening;
 
@@ -55,8 +55,11 @@
 }
 END_TEST
 
-/* A caller sends copies. They neither wait beside it nor make it younger. */
-START_TEST(copy_takes_the_place_of_what_waits)
+/*
+ * A caller retransmits its SYN. Guards against a second entry for it, and
+ * against a restart of its wait time.
+ */
+START_TEST(replaces_queued_opening_by_retransmission)
 {
 	dy_opening_t opening;
 
@@ -75,8 +78,8 @@
 }
 END_TEST
 
-/* More openings than there is room for: the newest is not taken in. */
-START_TEST(openings_that_wait_are_bounded)
+/* A new opening is refused once the queue is full. */
+START_TEST(refuses_opening_when_full)
 {
 	unsigned flow;
 
@@ -93,9 +96,9 @@
 int main(void)
 {
 	const TTest *const tests[] = {
-		youngest_is_taken_first,
-		copy_takes_the_place_of_what_waits,
-		openings_that_wait_are_bounded,
+		dequeues_newest_first,
+		replaces_queued_opening_by_retransmission,
+		refuses_opening_when_full,
 		NULL,
 	};
 
--- a/tests/test_search_limit.c
+++ b/tests/test_search_limit.c
@@ -7,7 +7,7 @@
 static dy_search_limit_t limit;
 static dy_search_slot_t slots[SLOTS];
 
-static void begin_all(uint64_t now_ms)
+static void start_max_searches(uint64_t now_ms)
 {
 	unsigned i;
 
@@ -18,10 +18,10 @@
 		ck_assert(dy_search_limit_begin(&limit, &slots[i], now_ms));
 }
 
-/* Copies of a packet that is searched for take no further place. */
-START_TEST(copies_take_no_further_place)
+/* Retransmissions of a packet whose search is running do not count again. */
+START_TEST(counts_retransmissions_once)
 {
-	begin_all(1000);
+	start_max_searches(1000);
 	ck_assert(dy_search_limit_begin(&limit, &slots[0], 1001));
 	ck_assert(!dy_search_limit_begin(&limit, &slots[SLOTS - 1], 1001));
 	dy_search_limit_end(&limit, &slots[0]);
@@ -30,10 +30,10 @@
 }
 END_TEST
 
-/* Lost searches would close the balancer to all others for good. */
-START_TEST(lost_searches_give_their_places_back)
+/* Guards against lost searches that block all others for good. */
+START_TEST(frees_slots_of_lost_searches)
 {
-	begin_all(1000);
+	start_max_searches(1000);
 	ck_assert(!dy_search_limit_begin(&limit, &slots[SLOTS - 1],
 					 999 + DY_SEARCH_TIMEOUT_MS));
 	ck_assert(dy_search_limit_begin(&limit, &slots[SLOTS - 1],
@@ -42,32 +42,32 @@
 }
 END_TEST
 
-/* An end that is told twice must not make room for two. */
-START_TEST(an_end_counts_once)
+/* Guards against an end that is reported twice and admits two searches. */
+START_TEST(counts_repeated_end_once)
 {
-	begin_all(1000);
+	start_max_searches(1000);
 	dy_search_limit_end(&limit, &slots[0]);
 	dy_search_limit_end(&limit, &slots[0]);
 	ck_assert_uint_eq(limit.count, DY_SEARCHES_MAX - 1);
 }
 END_TEST
 
-static void begin_one(dy_search_slot_t *slot, unsigned *messages,
-		      uint64_t now_ms)
+static void begin_if_ended(dy_search_slot_t *slot, unsigned *messages,
+			   uint64_t now_ms)
 {
-	int anew = dy_list_empty(&slot->link);
+	int is_new = dy_list_empty(&slot->link);
 
-	if (dy_search_limit_begin(&limit, slot, now_ms) && anew)
+	if (dy_search_limit_begin(&limit, slot, now_ms) && is_new)
 		*messages = 0;
 }
 
 /*
- * A thousand flows' packets come again each ms; the link carries a message a
- * ms, a search takes four and begins anew if it was given up. Shared by all
- * thousand at once no search ends before it is given up; with the limit all
- * end within what their messages take.
+ * The packets of 1,000 flows are retransmitted every ms. The link carries one
+ * message per ms; a search takes four and restarts when it times out. With all
+ * 1,000 at once no search completes before its timeout; with the limit all
+ * complete within the time of their messages.
  */
-START_TEST(burst_ends_within_what_the_link_bears)
+START_TEST(completes_burst_within_link_capacity)
 {
 	static dy_search_slot_t burst[1000];
 	unsigned messages[1000] = { 0 };
@@ -82,7 +82,7 @@
 	for (; ended < 1000 && now_ms < 5000; now_ms++) {
 		for (i = 0; i < 1000; i++)
 			if (messages[i] < 4)
-				begin_one(&burst[i], &messages[i], now_ms);
+				begin_if_ended(&burst[i], &messages[i], now_ms);
 		for (i = 0; i < 1000; i++) {
 			next = (next + 1) % 1000;
 			if (!dy_list_empty(&burst[next].link))
@@ -101,10 +101,10 @@
 int main(void)
 {
 	const TTest *const tests[] = {
-		copies_take_no_further_place,
-		lost_searches_give_their_places_back,
-		an_end_counts_once,
-		burst_ends_within_what_the_link_bears,
+		counts_retransmissions_once,
+		frees_slots_of_lost_searches,
+		counts_repeated_end_once,
+		completes_burst_within_link_capacity,
 		NULL,
 	};
 
--- a/tests/test_session.c
+++ b/tests/test_session.c
@@ -8,10 +8,12 @@
 
 #include <rpc/rpc.h>
 
-#define MANY 100000
+#define SESSIONS 100000
 
-/* What the header promises, with room for another allocator's rounding. */
-#define BYTES_MOST 260
+/*
+ * The size that session.h states, with a margin for other allocators' rounding.
+ */
+#define BYTES_MAX 260
 
 static uint8_t body[40] = { 1 };
 static const dy_rpc_auth_t credential = { AUTH_SYS, sizeof(body), body };
@@ -22,7 +24,7 @@
 	return dy_sessions_open(sessions, id, 1, &credential, now_ms);
 }
 
-START_TEST(full_table_refuses_and_keeps_the_open)
+START_TEST(refuses_session_when_full_but_accepts_handover)
 {
 	dy_sessions_t *sessions = dy_sessions_create(2, DY_RETRANSMIT_MS, 1);
 	dy_moved_body_t moved = { 0 };
@@ -31,17 +33,17 @@
 	ck_assert_ptr_nonnull(open_at(sessions, 2, 0));
 	ck_assert_ptr_null(open_at(sessions, 3, 0));
 	ck_assert_ptr_nonnull(dy_sessions_find(sessions, 1));
-	/* A session that is handed over is taken all the same. */
+	/* A session that is handed over is accepted all the same. */
 	ck_assert_ptr_nonnull(dy_sessions_receive(sessions, 4, &moved, 0));
 	dy_sessions_destroy(sessions);
 }
 END_TEST
 
 /*
- * A session that ends before the last copy of its calls has arrived would
- * let that copy be taken for a new call.
+ * Guards against a session that expires before the last retransmission of its
+ * calls, which would then run as a new call.
  */
-START_TEST(idle_session_outlives_its_copies)
+START_TEST(keeps_idle_session_for_retransmissions)
 {
 	dy_sessions_t *sessions = dy_sessions_create(9, 1, 1);
 	dy_session_t *session = open_at(sessions, 1, 0);
@@ -57,7 +59,7 @@
 }
 END_TEST
 
-START_TEST(opening_id_tells_callers_apart)
+START_TEST(derives_distinct_opening_ids_per_caller)
 {
 	dy_sessions_t *sessions = dy_sessions_create(9, 1, 1);
 	dy_address_t a;
@@ -76,7 +78,7 @@
 }
 END_TEST
 
-/* The table itself is large enough to be mapped rather than allocated. */
+/* Includes mapped blocks: the table is large enough to be mapped. */
 static size_t bytes_in_use(void)
 {
 	struct mallinfo2 info = mallinfo2();
@@ -84,19 +86,19 @@
 	return info.uordblks + info.hblkhd;
 }
 
-START_TEST(memory_of_many_sessions)
+START_TEST(limits_memory_per_session)
 {
-	dy_sessions_t *sessions = dy_sessions_create(MANY, 1, 1);
+	dy_sessions_t *sessions = dy_sessions_create(SESSIONS, 1, 1);
 	size_t before = bytes_in_use();
 	size_t each;
 	uint64_t i;
 
-	for (i = 1; i <= MANY; i++)
+	for (i = 1; i <= SESSIONS; i++)
 		open_at(sessions, i, 0);
-	each = (bytes_in_use() - before) / MANY;
-	printf("measure name=session_bytes sessions=%d bytes=%zu\n", MANY,
+	each = (bytes_in_use() - before) / SESSIONS;
+	printf("measure name=session_bytes sessions=%d bytes=%zu\n", SESSIONS,
 	       each);
-	ck_assert_uint_lt(each, BYTES_MOST);
+	ck_assert_uint_lt(each, BYTES_MAX);
 #ifndef __SANITIZE_ADDRESS__ /* whose allocator counts nothing here */
 	ck_assert_uint_ge(each, sizeof(dy_session_t));
 #endif
@@ -107,10 +109,10 @@
 int main(void)
 {
 	const TTest *const tests[] = {
-		full_table_refuses_and_keeps_the_open,
-		idle_session_outlives_its_copies,
-		opening_id_tells_callers_apart,
-		memory_of_many_sessions,
+		refuses_session_when_full_but_accepts_handover,
+		keeps_idle_session_for_retransmissions,
+		derives_distinct_opening_ids_per_caller,
+		limits_memory_per_session,
 		NULL,
 	};
 
--- a/tests/test_stale_flows.c
+++ b/tests/test_stale_flows.c
@@ -8,17 +8,17 @@
 
 #define TIME_MS 1000000
 
-static dy_stale_flows_t *former;
+static dy_stale_flows_t *stale;
 
 static void begin(void)
 {
 	fake_holder_create();
-	former = dy_stale_flows_create(fake_holder.holder);
+	stale = dy_stale_flows_create(fake_holder.holder);
 }
 
 static void end(void)
 {
-	dy_stale_flows_destroy(former);
+	dy_stale_flows_destroy(stale);
 	fake_holder_end();
 }
 
@@ -39,8 +39,8 @@
 	return flow;
 }
 
-/* The list of t1, born at 70, made at TIME_MS: flows 1 and 2. */
-static void take_list(uint64_t time_ms)
+/* The list of target t1, started at 70, made at TIME_MS: flows 1 and 2. */
+static void add_list(uint64_t time_ms)
 {
 	dy_ledger_flow_t flows[] = { flow_of(1), flow_of(2) };
 	dy_ledger_part_t part = { .born_ms = 70,
@@ -50,71 +50,71 @@
 	part.target = (char *)"t1";
 	part.flows.flows_val = flows;
 	part.flows.flows_len = 2;
-	dy_stale_flows_add_part(former, &part, time_ms);
+	dy_stale_flows_add_part(stale, &part, time_ms);
 }
 
 /*
- * All power was lost, and a target starts anew. Callers' next requests on the
- * flows of before would be lost; they are reset first, each once, by the byte
- * that their caller acknowledged last.
+ * All power was lost, and a target restarts. Without resets the callers' next
+ * requests on the old flows are lost. Each flow gets one reset, with the
+ * caller's last acknowledgement.
  */
-START_TEST(flows_of_an_earlier_start_are_reset_once)
+START_TEST(resets_flows_of_earlier_instance_once)
 {
 	dy_ledger_flow_t flow;
 
 	begin();
 	announce("t2", 90);
-	take_list(TIME_MS + 3000);
-	take_list(TIME_MS + 3000);
-	ck_assert_uint_eq(dy_stale_flows_count(former), 2);
-	ck_assert(dy_stale_flows_pop(former, &flow));
+	add_list(TIME_MS + 3000);
+	add_list(TIME_MS + 3000);
+	ck_assert_uint_eq(dy_stale_flows_count(stale), 2);
+	ck_assert(dy_stale_flows_pop(stale, &flow));
 	ck_assert_uint_eq(flow.flow.caller_port, 1);
 	ck_assert_uint_eq(flow.ack, 501);
-	ck_assert(dy_stale_flows_pop(former, &flow));
-	ck_assert(!dy_stale_flows_pop(former, &flow));
-	take_list(TIME_MS + 3000);
-	ck_assert(!dy_stale_flows_pop(former, &flow));
+	ck_assert(dy_stale_flows_pop(stale, &flow));
+	ck_assert(!dy_stale_flows_pop(stale, &flow));
+	add_list(TIME_MS + 3000);
+	ck_assert(!dy_stale_flows_pop(stale, &flow));
 	end();
 }
 END_TEST
 
-/* The agent alone was killed: its target goes on with all its flows. */
-START_TEST(flows_of_the_same_start_are_left_alone)
+/* Only the agent was killed: its target keeps running with all its flows. */
+START_TEST(keeps_flows_of_same_instance)
 {
 	begin();
 	announce("t1", 70);
-	take_list(TIME_MS);
-	ck_assert_uint_eq(dy_stale_flows_count(former), 0);
+	add_list(TIME_MS);
+	ck_assert_uint_eq(dy_stale_flows_count(stale), 0);
 	end();
 }
 END_TEST
 
-/* Whether the target lives is not known yet: its notice may still come. */
-START_TEST(nothing_is_reset_before_the_target_is_known)
+/* It is not known yet whether the target runs; its notice may still come. */
+START_TEST(resets_nothing_before_target_is_known)
 {
 	begin();
-	take_list(TIME_MS);
-	ck_assert_uint_eq(dy_stale_flows_count(former), 0);
+	add_list(TIME_MS);
+	ck_assert_uint_eq(dy_stale_flows_count(stale), 0);
 	dy_flow_holder_port_checked(fake_holder.holder, DY_PORT_REFUSED, 1);
-	take_list(TIME_MS);
-	ck_assert_uint_eq(dy_stale_flows_count(former), 2);
+	add_list(TIME_MS);
+	ck_assert_uint_eq(dy_stale_flows_count(stale), 2);
 	end();
 }
 END_TEST
 
 /*
- * Power was out for long, or a control's disk took no list for a while: the
- * caller's last byte may be far from the one that was listed.
+ * Power was out for long, or a control's disk stored no list for some time: the
+ * caller's acknowledgement may be far from the listed one.
  */
-START_TEST(old_list_is_not_believed)
+START_TEST(ignores_expired_list)
 {
 	begin();
 	announce("t2", 90);
-	take_list(TIME_MS + 12001);
-	take_list(TIME_MS - 12001);
-	ck_assert_uint_eq(dy_stale_flows_count(former), 0);
-	take_list(TIME_MS + 12000);
-	ck_assert_uint_eq(dy_stale_flows_count(former), 2);
+	add_list(TIME_MS + 12001);
+	add_list(TIME_MS - 12001);
+	ck_assert_uint_eq(dy_stale_flows_count(stale), 0);
+	add_list(TIME_MS + 12000);
+	ck_assert_uint_eq(dy_stale_flows_count(stale), 2);
 	end();
 }
 END_TEST
@@ -137,18 +137,18 @@
 				       1);
 }
 
-/* A caller opened a flow by the same two ends again. */
-START_TEST(flow_that_is_open_again_is_left_alone)
+/* A caller opened a flow between the same two ends again. */
+START_TEST(keeps_flow_that_is_open_again)
 {
 	dy_ledger_flow_t flow;
 
 	begin();
 	announce("t2", 90);
-	take_list(TIME_MS);
+	add_list(TIME_MS);
 	open_flow(1);
-	ck_assert(dy_stale_flows_pop(former, &flow));
+	ck_assert(dy_stale_flows_pop(stale, &flow));
 	ck_assert_uint_eq(flow.flow.caller_port, 2);
-	ck_assert(!dy_stale_flows_pop(former, &flow));
+	ck_assert(!dy_stale_flows_pop(stale, &flow));
 	end();
 }
 END_TEST
@@ -156,13 +156,13 @@
 int main(void)
 {
 	const TTest *const tests[] = {
-		flows_of_an_earlier_start_are_reset_once,
-		flows_of_the_same_start_are_left_alone,
-		nothing_is_reset_before_the_target_is_known,
-		old_list_is_not_believed,
-		flow_that_is_open_again_is_left_alone,
+		resets_flows_of_earlier_instance_once,
+		keeps_flows_of_same_instance,
+		resets_nothing_before_target_is_known,
+		ignores_expired_list,
+		keeps_flow_that_is_open_again,
 		NULL,
 	};
 
-	return fake_suite_run("former_flows", tests);
+	return fake_suite_run("stale_flows", tests);
 }
