--- a/include/damaskyard/document_pack.h
+++ b/include/damaskyard/document_pack.h
@@ -2,10 +2,12 @@
 #define DAMASKYARD_DOCUMENT_PACK_H
 
 /*
- * Documents packed for the log, the disk and the way to members. A platform's
- * configuration of 560 entries is 140 KB of much repeated text and packs to a
- * tenth; it is written by each control and fetched by each balancer, with
- * parts of a core and a few kilobytes a second.
+ * Compression of documents for the log, the disk and the transfer to members.
+ *
+ * Load pattern: a platform's configuration of 560 entries is 140 KB of
+ * repetitive text. Each control writes it and each balancer fetches it, with a
+ * fraction of a core and a few kilobytes per second. Compression reduces it to
+ * a tenth.
  */
 
 #include <stddef.h>
@@ -13,14 +15,14 @@
 
 #include <glib.h>
 
-/* Pack bytes. Free with g_byte_array_unref(). */
+/* Compress len bytes. Returns an array to free with g_byte_array_unref(). */
 GByteArray *dy_document_pack(const void *bytes, size_t len);
 
 /*
- * Unpack what was packed; other bytes are returned as they are. Returns NULL
- * if they are damaged, or would be larger than most. Free with
- * g_byte_array_unref().
+ * Decompress the output of dy_document_pack(); other bytes are copied
+ * unchanged. Returns an array to free with g_byte_array_unref(), or NULL if
+ * the input is damaged or would decompress to more than max_len bytes.
  */
-GByteArray *dy_document_unpack(const void *bytes, size_t len, size_t most);
+GByteArray *dy_document_unpack(const void *bytes, size_t len, size_t max_len);
 
 #endif
--- a/include/damaskyard/flow_path.h
+++ b/include/damaskyard/flow_path.h
@@ -2,49 +2,55 @@
 #define DAMASKYARD_FLOW_PATH_H
 
 /*
- * Whether what a balancer sends to one agent arrives there. No network.
+ * Detection of a one-way path failure from a balancer to one agent. No I/O.
  *
- * Load pattern: packets pass one way only between two failure domains, as
- * after a wrong route or a half-open firewall: an agent is heard, and does not
- * hear.
- * What happens without it: the agent's reports say that all is well, so flows
- * are opened there in vain, and each request on an open one waits until its
- * caller gives up.
- * What is done: an agent says in each report how many messages came straight
- * from this balancer. If that number stands still while more are sent, the
- * path is broken: new flows go elsewhere, and open ones by way of an agent of a
- * third domain (resilient overlay networks, SOSP 2001), one hop at the most.
+ * Load pattern: packets pass in one direction only between two failure
+ * domains, as with a wrong route or a half-open firewall. The balancer receives
+ * the agent's reports, but the agent receives nothing from the balancer.
+ *
+ * Without it the reports show a healthy agent, so the balancer keeps opening
+ * flows there, and each request on an open flow waits until its caller times
+ * out.
+ *
+ * An agent reports how many messages it received directly from this balancer.
+ * If the count does not change while more messages are sent, the path is
+ * broken. New flows then go to other agents, and open flows through a relay
+ * agent in a third domain, with at most one extra hop (Resilient Overlay
+ * Networks, SOSP 2001).
  */
 
 #include <stdint.h>
 
 /*
- * Messages that did not arrive, none of them having arrived in between: a link
- * that loses three packets in ten loses so many in a row once in 1,400 times.
+ * Minimum number of consecutive lost messages for a broken path. A link with
+ * 30 % loss loses this many in a row once in 1,400 times.
  */
 #define DY_FLOW_PATH_LOST_MIN 6
 
 /*
- * The first of them was sent so long before the report, in ms: a report under
- * way crosses what was sent after it left, and one is sent each 200 ms.
+ * Minimum age of the first lost message when the report arrives. Reports are
+ * sent every 200 ms, and a report in transit does not count what was sent
+ * after it left.
  */
 #define DY_FLOW_PATH_AGE_MIN_MS 250
 
+/* State of one path. All zero is a working path without a report. */
 typedef struct dy_flow_path {
-	uint32_t received;	/* what the agent counted, by its last report */
-	unsigned sent;		/* since that number last changed */
-	uint64_t first_sent_ms; /* the first of these */
+	uint32_t received;	/* count in the agent's last report */
+	unsigned sent;		/* messages sent since the count changed */
+	uint64_t first_sent_ms; /* time of the first of them */
 	int broken;
 } dy_flow_path_t;
 
-/* A message was sent straight to the agent. */
+/* Record a message sent directly to the agent. */
 void dy_flow_path_note_sent(dy_flow_path_t *path, uint64_t now_ms);
 
 /*
- * The agent reports that so many arrived; 0: it does not count them. Returns
- * whether the path was found to be broken, or whole again, by this report.
+ * Handle a report of the agent. received is its count of messages from this
+ * balancer, or 0 if it does not count them. Returns whether path->broken
+ * changed.
  */
-int dy_flow_path_receive_report(dy_flow_path_t *path, uint32_t heard,
+int dy_flow_path_receive_report(dy_flow_path_t *path, uint32_t received,
 				uint64_t now_ms);
 
 #endif
--- a/include/damaskyard/flow_rules.h
+++ b/include/damaskyard/flow_rules.h
@@ -2,9 +2,9 @@
 #define DAMASKYARD_FLOW_RULES_H
 
 /*
- * Where packet flows go: the entries of one configuration version. An entry
- * is an address and port that callers send to; its new flows go to one or
- * more services, by weight.
+ * Routing rules of packet flows: the entries of one configuration version. An
+ * entry is a destination address and port; its new flows are distributed over
+ * one or more services by weight.
  */
 
 #include <stddef.h>
@@ -12,16 +12,16 @@
 
 #include "damaskyard/packet.h"
 
-/* Services that share one entry; a trial beside the old is two. */
+/* Services per entry; a trial version next to the current one needs two. */
 #define DY_FLOW_SHARES_MAX 8
 
 typedef struct dy_flow_share {
 	char *service;
-	uint32_t weight; /* relative to the entry's others */
+	uint32_t weight; /* relative to the other shares of the entry */
 } dy_flow_share_t;
 
 typedef struct dy_flow_entry {
-	uint32_t ip; /* IPv4, host order */
+	uint32_t ip; /* IPv4, host byte order */
 	uint16_t port;
 	uint8_t repeatable; /* its requests may run more than once */
 	uint8_t share_count;
@@ -30,37 +30,48 @@
 
 typedef struct dy_flow_rules dy_flow_rules_t;
 
+/* Create an empty rule set of a configuration version. */
 dy_flow_rules_t *dy_flow_rules_create(uint64_t version);
+
+/* Free the rules and their entries. NULL is allowed. */
 void dy_flow_rules_destroy(dy_flow_rules_t *rules);
 
 /*
- * Add an entry, whose names are copied. Returns NULL, or what is wrong with
- * it: its address stands already, it has no service, or no share has a
- * weight.
+ * Add a copy of entry, service names included. Returns NULL, or a static
+ * error message: the address and port are already used, or the entry has no
+ * service or no positive weight.
  */
 const char *dy_flow_rules_add(dy_flow_rules_t *rules,
 			      const dy_flow_entry_t *entry);
 
-/* Find the entry that a flow came to, or NULL. */
+/*
+ * Find the entry of a destination; ip is in host byte order. Returns an entry
+ * that the rules own, or NULL.
+ */
 const dy_flow_entry_t *dy_flow_rules_find(const dy_flow_rules_t *rules,
 					  uint32_t ip, uint16_t port);
 
 /*
- * Say how many new flows in 1,000 s a target of a service bears while it is
- * cold; 0, as for services of which nothing was said: any number.
+ * Limit the new flows that a cold target of a service accepts, in flows per
+ * 1,000 s. 0 is ignored.
  */
 void dy_flow_rules_set_cold_openings(dy_flow_rules_t *rules,
 				     const char *service, uint32_t openings);
+
+/* Returns the limit of a service, or 0 if it has none. */
 uint32_t dy_flow_rules_cold_openings(const dy_flow_rules_t *rules,
 				     const char *service);
 
+/* Returns the configuration version. */
 uint64_t dy_flow_rules_version(const dy_flow_rules_t *rules);
+
+/* Returns the number of entries. */
 unsigned dy_flow_rules_count(const dy_flow_rules_t *rules);
 
 /*
- * Order the entry's shares for a flow: the one that its opening packet goes
- * to first, by weight, the same in every process; the others follow in the
- * entry's order. order takes share_count positions.
+ * Order the shares of an entry for a flow. The first one is drawn by weight
+ * from the hash of the flow, so that every process draws the same; the others
+ * follow in the order of the entry. Writes entry->share_count indices.
  */
 void dy_flow_entry_order(const dy_flow_entry_t *entry, const dy_flow_id_t *flow,
 			 uint8_t order[DY_FLOW_SHARES_MAX]);
--- a/include/damaskyard/flow_targets.h
+++ b/include/damaskyard/flow_targets.h
@@ -2,23 +2,25 @@
 #define DAMASKYARD_FLOW_TARGETS_H
 
 /*
- * The targets that a balancer may send flows to, and in which order. No
- * network: members and loads go in, lists of agents come out.
+ * Selection of targets for packet flows on a balancer: which agent gets a new
+ * flow, and which agents may hold an open one. No I/O: members and load
+ * reports are put in, lists of agent addresses are returned.
  *
- * Who may hold a flow: every process orders a service's targets for a flow by
- * rendezvous hashing, so that a balancer that never saw the flow tries the
- * same few agents that another one chose from, without a table that all share.
+ * Candidates of a flow: rendezvous hashing ranks the targets of a service for
+ * each flow. Every process computes the same ranking, so a balancer that never
+ * saw a flow searches the same few agents that another balancer chose from,
+ * and no shared flow table is needed.
  *
- * Whom a new flow goes to.
- *	Load pattern: long flows that cannot be moved once they are open, and
- *	short ones among them; a target that turned slow or started a short
- *	time ago; a burst of openings between two reports of load.
- *	What happens without it: by hash alone the fullest of seven targets has
- *	half as many flows again as the mean, for as long as flows last; by the
- *	last report alone all openings until the next go to one target.
- *	What is done: of the first DY_FLOW_CANDIDATES in the flow's order the
- *one with the fewest flows for its slots, those opened since its report counted
- *in, and requests that wait there counted more.
+ * Choice for a new flow:
+ *	Load pattern: long flows that cannot move once they are open, mixed
+ *	with short ones; a target that became slow or started recently; a burst
+ *	of new flows between two load reports.
+ *	Without it: by hash alone, the fullest of seven targets has 1.5 times
+ *	the mean number of flows for as long as flows last; by the last report
+ *	alone, all new flows until the next report go to one target.
+ *	Mechanism: among the first DY_FLOW_CANDIDATES of the ranking, choose
+ *	the target with the fewest flows per slot. Flows opened since its last
+ *	report are included, and queued requests weigh more.
  */
 
 #include <stdint.h>
@@ -28,98 +30,111 @@
 #include "dy_control.h"
 
 /*
- * Targets among which load decides. Of small services all are compared; of
- * two choices at random the fuller is already rarely far above the mean, and
- * eight leave half of DY_FLOW_TRIES for targets that came or went since.
+ * Targets compared by load for a new flow; small services are compared as a
+ * whole. Even the better of two random choices is rarely far above the mean,
+ * and eight leave half of DY_FLOW_TRIES for targets that joined or left since
+ * the flow was opened.
  */
 #define DY_FLOW_CANDIDATES 8
 
 /*
- * Weight of a request that waits for a slot, in flows for each slot: it delays
- * the new flow's first request by a whole service time, where an open flow is
- * idle most of the time.
+ * Weight of a queued request, in flows per slot. It delays the first request
+ * of a new flow by a whole service time, while an open flow is mostly idle.
  */
 #define DY_FLOW_QUEUED_WEIGHT 4.0
 
 /*
- * What a target outside of the balancer's own failure domain is set back, in
- * flows for each slot: bytes between domains are paid for. Small against the
- * five to ten flows for each slot of long flows, so that it decides between
- * nearly equal targets only; short flows, below one, stay in the domain.
+ * Penalty of a target outside the balancer's own failure domain, in flows per
+ * slot: traffic between domains costs money. It is small against the five to
+ * ten long flows per slot, so it only decides between nearly equal targets.
+ * Short flows, of which there is less than one per slot, stay in the domain.
  */
 #define DY_FLOW_REMOTE_PENALTY 0.3
 
-/* What a target that started a short time ago is set back, likewise. */
+/* Penalty of a target that started recently, in flows per slot. */
 #define DY_FLOW_COLD_PENALTY 1.0
 
 /*
- * A target that did not answer an opening is chosen last for so long, in ms:
- * until its lease has run out, should it be gone.
+ * Time for which a target that did not answer a new flow is ranked last: the
+ * lease time of its agent, which has expired by then if the agent is gone.
  */
 #define DY_FLOW_UNANSWERED_AVOID_MS 3000
 
 /*
- * An agent reports each 200 ms to balancers that send it packets; ten reports
- * in a row are not lost by a bad link, and a lease is over after 3 s.
+ * Time without a report after which a suspect agent is lost. Agents report
+ * every 200 ms to balancers that send them packets, and a bad link does not
+ * lose ten reports in a row. A lease expires after 3 s.
  */
 #define DY_FLOW_LOST_TIMEOUT_MS 2000
 
 /*
- * Between two reports of an agent to a balancer that sends it packets, in ms: a
- * fifth of a second's openings are chosen by an older one, and counted in by
- * the balancer itself.
+ * Interval of an agent's load reports to a balancer that sends it packets.
+ * Until the next report the balancer adds the flows that it opened itself.
  */
 #define DY_FLOW_REPORT_INTERVAL_MS 200
 
 /*
- * An agent that was sent packets and has said nothing for so long, in ms, is
- * unresponsive: five reports in a row are missing, while others are heard. A
- * link that loses a third of all packets loses five in a row once in 243 times.
+ * Time without a report after which an agent that was sent packets is
+ * unresponsive: five reports in a row are missing while other agents' reports
+ * arrive. A link with a third of all packets lost loses five in a row once in
+ * 243 times.
  */
 #define DY_FLOW_UNRESPONSIVE_TIMEOUT_MS 1000
 
 typedef struct dy_flow_targets dy_flow_targets_t;
 
-/* domain is this balancer's failure domain, kept by reference. */
+/*
+ * Create an empty set. domain is the failure domain of this balancer; it is
+ * not copied and must outlive the set.
+ */
 dy_flow_targets_t *dy_flow_targets_create(const char *domain);
+
+/* Free the set. NULL is allowed. */
 void dy_flow_targets_destroy(dy_flow_targets_t *targets);
 
-/* Take a member of the registry; others than agents are passed over. */
+/*
+ * Add, update or remove a target by its member record. Members other than
+ * agents are ignored, as are records older than the known incarnation.
+ */
 void dy_flow_targets_set_member(dy_flow_targets_t *targets,
 				const dy_member_t *member);
 
-/* Say that a failure domain's targets take no new flows, or take some again. */
+/*
+ * Set whether a failure domain is evacuated. Its targets then get no new
+ * flows, but keep their open ones.
+ */
 void dy_flow_targets_set_domain(dy_flow_targets_t *targets, const char *domain,
 				int evacuated);
 
-/* Take what the agent at that address said of its load. */
+/* Set the load that the agent at an address reported at now_ms. */
 void dy_flow_targets_set_load(dy_flow_targets_t *targets,
 			      const dy_address_t *agent,
 			      const dy_flow_load_t *load, uint64_t now_ms);
 
 /*
- * Take how many messages the agent counts that came straight from here, as
- * dy_flow_path_receive_report(). Returns whether its path was found to be
- * broken, or whole again.
+ * Set how many messages the agent received directly from this balancer; see
+ * dy_flow_path_receive_report(). Returns whether the path became broken or
+ * working again.
  */
 int dy_flow_targets_set_received(dy_flow_targets_t *targets,
-				 const dy_address_t *agent, uint32_t heard,
+				 const dy_address_t *agent, uint32_t received,
 				 uint64_t now_ms);
 
-/* Whether what is sent straight to the agent does not arrive. */
+/* Returns whether messages sent directly to the agent do not arrive. */
 int dy_flow_targets_is_path_broken(const dy_flow_targets_t *targets,
 				   const dy_address_t *agent);
 
-/* An agent that was heard within this time, in ms, may be a relay. */
+/* Maximum age of an agent's last report for it to be a relay. */
 #define DY_FLOW_RELAY_AGE_MAX_MS 500
 
-/* Agents that are looked at to find one. */
+/* Agents examined per search for a relay. */
 #define DY_FLOW_RELAY_CANDIDATES_MAX 64u
 
 /*
- * Find an agent of another domain than that one's that takes messages from
- * here, one outside of this balancer's own domain if there is any. Returns 0
- * if there is none, or with relay set.
+ * Find an agent that can relay messages to the given agent: a reachable agent
+ * of the same service in another failure domain than that agent's, preferably
+ * outside this balancer's domain too. Returns 1 with relay set, or 0 if there
+ * is none.
  */
 int dy_flow_targets_find_relay(const dy_flow_targets_t *targets,
 			       const dy_address_t *agent,
@@ -127,48 +142,52 @@
 			       dy_address_t *relay);
 
 /*
- * Whether the agent at that address is lost: its lease ran out, and it has
- * said nothing to this balancer either for DY_FLOW_LOST_TIMEOUT_MS, nor since
- * this was first asked about it. An agent that is cut off from control alone is
- * not lost: what is sent to it meanwhile makes it speak.
+ * Returns whether the agent is lost: its lease has expired, and this balancer
+ * has received no report for DY_FLOW_LOST_TIMEOUT_MS, counted from the first
+ * call for this suspect agent if that is later. An agent that only lost its
+ * connection to control is not lost: messages sent to it in this time make it
+ * report.
  */
 int dy_flow_targets_is_lost(dy_flow_targets_t *targets,
 			    const dy_address_t *agent, uint64_t now_ms);
 
 /*
- * Whether the agent at that address is unresponsive: its VM stands still, is
- * without power, or cut off from here, while control still takes it for
- * serving. Its flows' packets get no answer for seconds. It may come back, so
- * what cannot be repeated is better left to wait.
+ * Returns whether the agent is unresponsive: its VM is stalled, without power
+ * or unreachable from here, while control still lists it as serving. Packets
+ * of its flows get no answer for seconds. The agent may recover, so requests
+ * that cannot be repeated should wait.
  */
 int dy_flow_targets_is_unresponsive(const dy_flow_targets_t *targets,
 				    const dy_address_t *agent, uint64_t now_ms);
 
-/* Say that the members were confirmed by the answer to a poll of polled_ms. */
+/* Record that a poll sent at polled_ms was answered: members are current. */
 void dy_flow_targets_set_confirmed(dy_flow_targets_t *targets,
 				   uint64_t polled_ms);
 
-/* Note that something was sent to the agent, which makes it report. */
+/* Record a message sent to the agent, which makes the agent report. */
 void dy_flow_targets_note_sent(dy_flow_targets_t *targets,
 			       const dy_address_t *agent, uint64_t now_ms);
 
 /*
- * Whether the agent, to which no packets go as it is unresponsive, is to be
- * asked for a report now; if so it is taken for asked. Once in
- * DY_FLOW_REPORT_INTERVAL_MS.
+ * Returns whether to send a probe now to an unresponsive agent, which gets no
+ * packets otherwise. At most once per DY_FLOW_REPORT_INTERVAL_MS; 1 records
+ * the probe as sent.
  */
 int dy_flow_targets_begin_probe(dy_flow_targets_t *targets,
 				const dy_address_t *agent, uint64_t now_ms);
 
-/* Note that a flow was sent to the agent, or that it did not answer one. */
+/* Record a new flow sent to the agent. */
 void dy_flow_targets_note_opened(dy_flow_targets_t *targets,
 				 const dy_address_t *agent);
+
+/* Record that the agent did not answer a new flow. */
 void dy_flow_targets_note_unanswered(dy_flow_targets_t *targets,
 				     const dy_address_t *agent,
 				     uint64_t now_ms);
 
 /*
- * List the agents for a new flow of a service, best first. Returns how many.
+ * List the agents to try for a new flow of a service, best first. Returns
+ * their number; 0 if none accepts new flows.
  */
 unsigned dy_flow_targets_choose(const dy_flow_targets_t *targets,
 				const char *service, const dy_flow_id_t *flow,
@@ -176,29 +195,29 @@
 				dy_address_t list[DY_FLOW_TRIES]);
 
 /*
- * Agents that are searched for one flow at most. Each is a message, and an
- * agent passes it on within 1.5 ms: four tenths of a second for all of these,
- * which is as long as a caller's copy takes to come.
+ * Maximum number of agents searched for one flow. Each costs one message,
+ * which the agent passes on within 1.5 ms. The whole list takes 0.4 s, the
+ * time after which a caller retransmits.
  */
 #define DY_FLOW_SEARCH_MAX 256
 
 /*
- * Where there are more agents, the first DY_FLOW_TRIES of each service that
- * the entry does not name are searched too: it may have been turned from that
- * service since the flow was opened. So many services at most; with more, only
- * those that the entry names are searched.
+ * If there are more agents than DY_FLOW_SEARCH_MAX, the first DY_FLOW_TRIES of
+ * each service that the entry does not name are searched too, since the entry
+ * may have named another service when the flow was opened. With more services
+ * than this, only those that the entry names are searched.
  */
 #define DY_FLOW_SEARCH_SERVICES_MAX 8
 
-/* Of DY_FLOW_SEARCH_MAX, what is kept for them. */
+/* Part of DY_FLOW_SEARCH_MAX reserved for those other services. */
 #define DY_FLOW_SEARCH_RESERVED (DY_FLOW_SEARCH_SERVICES_MAX * DY_FLOW_TRIES)
 
 /*
- * List the agents that may hold an open flow, likeliest first: those of the
- * given services, then the others, since an entry may have named another
- * service when the flow was opened. complete tells whether these are all. The
- * order changes with the members only, so a search may go through it piece by
- * piece and asks each once. Returns how many.
+ * List the agents that may hold an open flow, most likely first: those of the
+ * given services, then those of other services, since the entry may have named
+ * another service when the flow was opened. Sets *complete to whether the list
+ * holds all agents. The order depends on the members only, so a search can
+ * process the list in parts and query each agent once. Returns the length.
  */
 unsigned dy_flow_targets_search(const dy_flow_targets_t *targets,
 				const char *const *services,
@@ -206,7 +225,7 @@
 				const dy_flow_id_t *flow, int *complete,
 				dy_address_t list[DY_FLOW_SEARCH_MAX]);
 
-/* Number of agents of a service that take new flows, for logs. */
+/* Returns the number of a service's agents that accept new flows, for logs. */
 unsigned dy_flow_targets_count(const dy_flow_targets_t *targets,
 			       const char *service);
 
--- a/include/damaskyard/successor.h
+++ b/include/damaskyard/successor.h
@@ -2,12 +2,12 @@
 #define DAMASKYARD_SUCCESSOR_H
 
 /*
- * Which successor holds a session of an agent that has left.
+ * Successors of an agent that leaves: which agent takes over each session.
  *
- * The leaving agent records its successors in control (dy_member_t); agents
- * and balancers then compute the same successor of a session by rendezvous
- * hashing, so that no table of sessions is sent about, and the sessions of
- * one agent spread over all of its successors.
+ * A leaving agent records its successors in control (dy_member_t). Agents and
+ * balancers compute the successor of a session by rendezvous hashing, so no
+ * session table is distributed, and the sessions of one agent are spread over
+ * all its successors.
  */
 
 #include <stdint.h>
@@ -15,17 +15,17 @@
 #include "dy_control.h"
 
 /*
- * Returns which of `members` holds `session`, or 0 if count is 0. Control's
- * record names them by incarnation, since a name may be in use again. The order
- * of the members does not matter.
+ * Returns the one of count members that takes over a session, or 0 if count
+ * is 0. Members are given by incarnation, since a name can be reused. Their
+ * order does not matter.
  */
 uint64_t dy_successor_pick(uint64_t session, const uint64_t *members,
 			   unsigned count);
 
 /*
- * Choose at most DY_SUCCESSORS_MAX of the candidates for the agent `self`
- * into chosen. Returns their number. Agents that leave at the same time
- * choose differently where there are more candidates than that.
+ * Choose up to DY_SUCCESSORS_MAX of count candidates as the successors of the
+ * agent self. Returns the number written to chosen. If there are more
+ * candidates, agents that leave at the same time choose different ones.
  */
 unsigned dy_successor_choose(uint64_t self, const uint64_t *candidates,
 			     unsigned count,
--- a/src/version/document.c
+++ b/src/version/document.c
@@ -14,7 +14,7 @@
 	GHashTable *by_id;
 };
 
-/* What is being parsed, for the helpers below. */
+/* The group being parsed. */
 typedef struct parse {
 	GKeyFile *file;
 	const char *group;
@@ -26,8 +26,9 @@
 	return g_quark_from_static_string("dy-document-error");
 }
 
-static gboolean refuse(const parse_t *parse, dy_document_error_t code,
-		       const char *key, const char *value, const char *allowed)
+static gboolean set_value_error(const parse_t *parse, dy_document_error_t code,
+				const char *key, const char *value,
+				const char *allowed)
 {
 	g_set_error(parse->error, DY_DOCUMENT_ERROR, code,
 		    "[%s] %s = \"%s\" is not allowed: expected %s",
@@ -35,7 +36,7 @@
 	return FALSE;
 }
 
-/* Returns the value, to free, or NULL if the key does not stand. */
+/* Returns the value, to be freed, or NULL if the key is missing. */
 static char *find_value(const parse_t *parse, const char *key)
 {
 	char *value =
@@ -45,23 +46,24 @@
 }
 
 static gboolean load_number(const parse_t *parse, const char *key,
-			    uint32_t fallback, uint32_t least, uint32_t *out)
+			    uint32_t default_value, uint32_t min, uint32_t *out)
 {
 	char *value = find_value(parse, key);
 	gboolean hex;
 	gboolean ok;
-	guint64 number = fallback;
+	guint64 number = default_value;
 
 	if (!value) {
-		*out = fallback;
+		*out = default_value;
 		return TRUE;
 	}
 	hex = g_str_has_prefix(value, "0x");
 	ok = g_ascii_string_to_unsigned(hex ? value + 2 : value, hex ? 16 : 10,
-					least, G_MAXUINT32, &number, NULL);
+					min, G_MAXUINT32, &number, NULL);
 	if (!ok)
-		refuse(parse, DY_DOCUMENT_ERROR_VALUE, key, value,
-		       least ? "a whole number above 0" : "a whole number");
+		set_value_error(parse, DY_DOCUMENT_ERROR_VALUE, key, value,
+				min ? "a whole number above 0"
+				    : "a whole number");
 	*out = (uint32_t)number;
 	g_free(value);
 	return ok;
@@ -90,16 +92,16 @@
 	}
 	ok = !dy_address_parse(value, &service->address);
 	if (!ok)
-		refuse(parse, DY_DOCUMENT_ERROR_VALUE, "address", value,
-		       "IP:PORT");
+		set_value_error(parse, DY_DOCUMENT_ERROR_VALUE, "address",
+				value, "IP:PORT");
 	g_free(value);
 	return ok;
 }
 
-/* A list of words, each of which `allow` must take; empty is as absent. */
-static gboolean load_words(const parse_t *parse, const char *key,
-			   gboolean (*allow)(const char *word),
-			   const char *allowed, char ***out)
+/* Loads a list of allowed words. Leaves *out as it is if there are none. */
+static gboolean load_list(const parse_t *parse, const char *key,
+			  gboolean (*is_allowed)(const char *word),
+			  const char *allowed, char ***out)
 {
 	char **words;
 	gsize count = 0;
@@ -113,9 +115,10 @@
 	}
 	for (i = 0; i < count; i++) {
 		g_strstrip(words[i]);
-		if (allow(words[i]))
+		if (is_allowed(words[i]))
 			continue;
-		refuse(parse, DY_DOCUMENT_ERROR_VALUE, key, words[i], allowed);
+		set_value_error(parse, DY_DOCUMENT_ERROR_VALUE, key, words[i],
+				allowed);
 		g_strfreev(words);
 		return FALSE;
 	}
@@ -123,7 +126,7 @@
 	return TRUE;
 }
 
-static gboolean allow_name(const char *word)
+static gboolean is_name(const char *word)
 {
 	size_t len = strlen(word);
 
@@ -131,7 +134,7 @@
 	       strspn(word, NAME_CHARACTERS) == len;
 }
 
-static gboolean allow_label(const char *word)
+static gboolean is_label(const char *word)
 {
 	const char *equals = strchr(word, '=');
 
@@ -139,7 +142,7 @@
 	       strlen(word) < DY_LABELS_BYTES;
 }
 
-static gboolean allow_procedure(const char *word)
+static gboolean is_procedure(const char *word)
 {
 	return g_ascii_string_to_unsigned(word, 10, 1, G_MAXUINT32, NULL, NULL);
 }
@@ -149,8 +152,8 @@
 	char **words = NULL;
 	unsigned i;
 
-	if (!load_words(parse, "idempotent", allow_procedure,
-			"procedure numbers above 0, with ;", &words))
+	if (!load_list(parse, "idempotent", is_procedure,
+		       "procedure numbers above 0, with ;", &words))
 		return FALSE;
 	if (!words)
 		return TRUE;
@@ -175,8 +178,9 @@
 		ok = *value && !*end && service->objective > 0 &&
 		     service->objective < 100;
 		if (!ok)
-			refuse(parse, DY_DOCUMENT_ERROR_VALUE, "objective",
-			       value, "a percentage above 0 and below 100");
+			set_value_error(parse, DY_DOCUMENT_ERROR_VALUE,
+					"objective", value,
+					"a percentage above 0 and below 100");
 		g_free(value);
 	}
 	return ok;
@@ -187,15 +191,14 @@
 	service->targets = find_value(parse, "targets");
 	if (!service->targets)
 		service->targets = g_strdup(service->name);
-	if (!allow_name(service->targets))
-		return refuse(parse, DY_DOCUMENT_ERROR_VALUE, "targets",
-			      service->targets,
-			      "1 to 63 of a-z, 0-9, '.', '_', '-'");
-	return load_words(parse, "labels", allow_label, "key=value, with ;",
-			  &service->labels) &&
-	       load_words(parse, "domains", allow_name,
-			  "names of failure domains, with ;",
-			  &service->domains);
+	if (!is_name(service->targets))
+		return set_value_error(parse, DY_DOCUMENT_ERROR_VALUE,
+				       "targets", service->targets,
+				       "1 to 63 of a-z, 0-9, '.', '_', '-'");
+	return load_list(parse, "labels", is_label, "key=value, with ;",
+			 &service->labels) &&
+	       load_list(parse, "domains", is_name,
+			 "names of failure domains, with ;", &service->domains);
 }
 
 static gboolean load_limits(const parse_t *parse, dy_service_t *service)
@@ -257,7 +260,7 @@
 	service->name =
 		g_strstrip(g_strdup(parse->group + strlen(SERVICE_PREFIX)));
 	service->id = dy_service_id(service->name);
-	if (!allow_name(service->name)) {
+	if (!is_name(service->name)) {
 		g_set_error(parse->error, DY_DOCUMENT_ERROR,
 			    DY_DOCUMENT_ERROR_VALUE,
 			    "[%s]: a service's name is 1 to 63 of a-z, 0-9, "
@@ -273,7 +276,8 @@
 	       load_objective(parse, service);
 }
 
-static gboolean load_head(const parse_t *parse, dy_document_t *document)
+static gboolean load_document_group(const parse_t *parse,
+				    dy_document_t *document)
 {
 	static const char *const known[] = { "weigh", NULL };
 	char *value;
@@ -287,8 +291,8 @@
 	else if (!strcmp(value, "imbalance"))
 		document->weigh = DY_PRIORITY_IMBALANCE;
 	else
-		ok = refuse(parse, DY_DOCUMENT_ERROR_VALUE, "weigh", value,
-			    "broken_flows or imbalance");
+		ok = set_value_error(parse, DY_DOCUMENT_ERROR_VALUE, "weigh",
+				     value, "broken_flows or imbalance");
 	g_free(value);
 	return ok;
 }
@@ -298,7 +302,7 @@
 	dy_service_t *service;
 
 	if (!strcmp(parse->group, "document"))
-		return load_head(parse, document);
+		return load_document_group(parse, document);
 	if (!g_str_has_prefix(parse->group, SERVICE_PREFIX)) {
 		g_set_error(parse->error, DY_DOCUMENT_ERROR,
 			    DY_DOCUMENT_ERROR_KEY,
@@ -349,7 +353,7 @@
 	return i == document->services->len;
 }
 
-/* Number of different keys of a group, and the group's own line. */
+/* Counts the distinct keys of a group and the group's header line. */
 static gsize count_lines(GKeyFile *file, const char *group)
 {
 	char **keys = g_key_file_get_keys(file, group, NULL, NULL);
@@ -366,11 +370,12 @@
 }
 
 /*
- * GKeyFile takes the last of two equal keys without a word, and joins two
- * groups of one name. A limit that stands twice with two values would pass
- * as the wrong one: count lines against what was parsed.
+ * GKeyFile silently keeps the last of two equal keys and merges two groups of
+ * one name, so a duplicate limit could take effect with the wrong value. Any
+ * duplicate shows as a difference between the lines and the parsed keys.
  */
-static gboolean check_doubles(GKeyFile *file, const char *text, GError **error)
+static gboolean check_duplicates(GKeyFile *file, const char *text,
+				 GError **error)
 {
 	char **lines = g_strsplit(text, "\n", -1);
 	char **groups = g_key_file_get_groups(file, NULL);
@@ -416,7 +421,7 @@
 	return ok && check_addresses(document, error);
 }
 
-static gboolean check_text(const char *text, size_t len, GError **error)
+static gboolean check_no_nul(const char *text, size_t len, GError **error)
 {
 	if (strlen(text) == len)
 		return TRUE;
@@ -435,10 +440,10 @@
 
 	document->services = g_ptr_array_new_with_free_func(destroy_service);
 	document->by_id = g_hash_table_new(g_int64_hash, g_int64_equal);
-	ok = check_text(text, len, error) &&
+	ok = check_no_nul(text, len, error) &&
 	     g_key_file_load_from_data(file, text, len, G_KEY_FILE_NONE,
 				       error) &&
-	     check_doubles(file, text, error) &&
+	     check_duplicates(file, text, error) &&
 	     load_groups(file, document, error);
 	g_key_file_free(file);
 	g_free(text);
--- a/src/version/document_patch.c
+++ b/src/version/document_patch.c
@@ -10,13 +10,13 @@
 			       uint32_t base_len, const uint8_t *newer,
 			       uint32_t newer_len)
 {
-	uint32_t most = MIN(base_len, newer_len);
+	uint32_t shorter_len = MIN(base_len, newer_len);
 	uint32_t prefix = 0;
 	uint32_t suffix = 0;
 
-	while (prefix < most && base[prefix] == newer[prefix])
+	while (prefix < shorter_len && base[prefix] == newer[prefix])
 		prefix++;
-	while (suffix < most - prefix &&
+	while (suffix < shorter_len - prefix &&
 	       base[base_len - 1 - suffix] == newer[newer_len - 1 - suffix])
 		suffix++;
 	patch->prefix = prefix;
--- a/src/version/flow_path.c
+++ b/src/version/flow_path.c
@@ -7,13 +7,13 @@
 	path->sent++;
 }
 
-int dy_flow_path_receive_report(dy_flow_path_t *path, uint32_t heard,
+int dy_flow_path_receive_report(dy_flow_path_t *path, uint32_t received,
 				uint64_t now_ms)
 {
 	int was_broken = path->broken;
 
-	if (heard != path->received || !heard) {
-		path->received = heard;
+	if (received != path->received || !received) {
+		path->received = received;
 		path->sent = 0;
 		path->broken = 0;
 		return was_broken;
--- a/src/version/flow_rules.c
+++ b/src/version/flow_rules.c
@@ -6,17 +6,17 @@
 
 #include "damaskyard/invariant.h"
 
-/* Salt of the draw among shares, so that it is not the order of targets. */
+/* Makes the draw of a share independent of the ranking of targets. */
 #define SHARE_SALT 0x9e3779b97f4a7c15u
 
 struct dy_flow_rules {
 	uint64_t version;
-	GHashTable *entries; /* by address, an int64 in the entry's record */
-	GHashTable *cold;    /* service name to openings in 1,000 s */
+	GHashTable *entries; /* by record::key */
+	GHashTable *cold;    /* service name to new flows per 1,000 s */
 };
 
 typedef struct record {
-	gint64 key;
+	gint64 key; /* address and port */
 	dy_flow_entry_t entry;
 } record_t;
 
@@ -74,11 +74,11 @@
 	int i;
 
 	if (!entry->share_count)
-		return "it names no service";
+		return "the entry has no service";
 	if (!sum_weights(entry))
-		return "its services have no weight";
+		return "the services of the entry have no weight";
 	if (g_hash_table_contains(rules->entries, &key))
-		return "another has its address and port";
+		return "another entry has the same address and port";
 	record = g_new0(record_t, 1);
 	record->key = key;
 	record->entry = *entry;
@@ -132,7 +132,7 @@
 	uint8_t count = 1;
 	uint8_t i;
 
-	/* dy_flow_rules_add() takes no entry without a weight. */
+	/* dy_flow_rules_add() refuses entries without a weight. */
 	dy_assert(sum);
 	left = (draw >> 32) % sum;
 	while (left >= entry->shares[first].weight)
--- a/src/version/flow_targets.c
+++ b/src/version/flow_targets.c
@@ -14,38 +14,41 @@
 	uint64_t hash; /* of the address */
 	dy_address_t address;
 	char *service;
-	char *domain; /* shared string */
+	char *domain; /* interned */
 	int same_domain;
-	int evacuated; /* its domain is */
+	int evacuated; /* its domain is evacuated */
 	int serving;
 	int suspect;
 	dy_flow_load_t load;
-	uint32_t opened; /* flows sent there since its last report */
-	uint64_t silent_until_ms;
-	uint64_t heard_ms;   /* when it last said anything to this balancer */
-	uint64_t doubted_ms; /* first wanted since it is suspect; 0: never */
-	uint64_t asked_ms;   /* first sent something since then; 0: not yet */
-	uint64_t sent_ms;    /* last sent something */
+	uint32_t opened; /* flows opened since its last report */
+	uint64_t avoided_until_ms;
+	uint64_t last_report_ms;
+	/* First call of dy_flow_targets_is_lost() since it is suspect, or 0. */
+	uint64_t lost_check_ms;
+	/* First message sent since its last report, or 0. */
+	uint64_t unanswered_since_ms;
+	uint64_t last_sent_ms;
 	dy_flow_path_t path;
 } target_t;
 
 struct dy_flow_targets {
 	const char *domain;
 	GHashTable *by_id;
-	GHashTable *by_address; /* the newest member at each */
-	GHashTable *services;	/* name to GPtrArray of targets */
-	GHashTable *evacuated;	/* names of domains, a set */
-	unsigned placed;	/* targets that are in a service */
-	uint64_t heard_ms;	/* when any of them last said anything */
-	uint64_t confirmed_ms; /* when the newest poll that was answered left */
+	GHashTable *by_address;	 /* the newest member at each address */
+	GHashTable *services;	 /* name to GPtrArray of targets */
+	GHashTable *evacuated;	 /* names of domains, a set */
+	unsigned agent_count;	 /* agents that have a service */
+	uint64_t last_report_ms; /* of any agent */
+	/* Send time of the newest poll that was answered. */
+	uint64_t confirmed_poll_ms;
 };
 
-/* A target as it stands in a flow's order. */
-typedef struct place {
+/* A target in the ranking of a flow. */
+typedef struct candidate {
 	uint64_t rank;
 	double score;
 	const target_t *target;
-} place_t;
+} candidate_t;
 
 static void free_target(void *data)
 {
@@ -100,7 +103,7 @@
 	g_free(targets);
 }
 
-static void leave_service(dy_flow_targets_t *targets, target_t *target)
+static void remove_from_service(dy_flow_targets_t *targets, target_t *target)
 {
 	GPtrArray *list;
 
@@ -108,14 +111,14 @@
 		return;
 	list = g_hash_table_lookup(targets->services, target->service);
 	g_ptr_array_remove_fast(list, target);
-	targets->placed--;
+	targets->agent_count--;
 	if (!list->len)
 		g_hash_table_remove(targets->services, target->service);
 	g_clear_pointer(&target->service, g_free);
 }
 
-static void join_service(dy_flow_targets_t *targets, target_t *target,
-			 const char *service)
+static void add_to_service(dy_flow_targets_t *targets, target_t *target,
+			   const char *service)
 {
 	GPtrArray *list;
 
@@ -128,7 +131,7 @@
 		g_hash_table_insert(targets->services, g_strdup(service), list);
 	}
 	g_ptr_array_add(list, target);
-	targets->placed++;
+	targets->agent_count++;
 }
 
 static target_t *find_by_address(const dy_flow_targets_t *targets,
@@ -137,7 +140,7 @@
 	return g_hash_table_lookup(targets->by_address, agent);
 }
 
-static void leave_address(dy_flow_targets_t *targets, target_t *target)
+static void remove_address(dy_flow_targets_t *targets, target_t *target)
 {
 	if (find_by_address(targets, &target->address) == target)
 		g_hash_table_remove(targets->by_address, &target->address);
@@ -164,8 +167,8 @@
 
 	if (!target || target->incarnation > member->incarnation)
 		return;
-	leave_service(targets, target);
-	leave_address(targets, target);
+	remove_from_service(targets, target);
+	remove_address(targets, target);
 	g_hash_table_remove(targets->by_id, &member->id);
 }
 
@@ -216,14 +219,14 @@
 	if (target->incarnation != member->incarnation) {
 		memset(&target->load, 0, sizeof(target->load));
 		target->opened = 0;
-		target->silent_until_ms = 0;
-		target->asked_ms = 0;
+		target->avoided_until_ms = 0;
+		target->unanswered_since_ms = 0;
 		memset(&target->path, 0, sizeof(target->path));
 	}
-	leave_service(targets, target);
-	join_service(targets, target, member->info.service);
+	remove_from_service(targets, target);
+	add_to_service(targets, target, member->info.service);
 	target->incarnation = member->incarnation;
-	leave_address(targets, target);
+	remove_address(targets, target);
 	target->address = member->info.address;
 	g_hash_table_replace(targets->by_address, &target->address, target);
 	target->hash = XXH3_64bits(target->address.ip, DY_IP_BYTES) ^
@@ -232,7 +235,7 @@
 	target->serving = member->state == DY_MEMBER_SERVING;
 	target->suspect = member->state == DY_MEMBER_SUSPECT;
 	if (!target->suspect)
-		target->doubted_ms = 0;
+		target->lost_check_ms = 0;
 	if (!target->load.slots)
 		target->load.slots = member->info.slots;
 }
@@ -247,20 +250,20 @@
 		return;
 	target->load = *load;
 	target->opened = 0;
-	target->silent_until_ms = 0;
-	target->heard_ms = now_ms;
-	target->asked_ms = 0;
-	targets->heard_ms = now_ms;
+	target->avoided_until_ms = 0;
+	target->last_report_ms = now_ms;
+	target->unanswered_since_ms = 0;
+	targets->last_report_ms = now_ms;
 }
 
 int dy_flow_targets_set_received(dy_flow_targets_t *targets,
-				 const dy_address_t *agent, uint32_t heard,
+				 const dy_address_t *agent, uint32_t received,
 				 uint64_t now_ms)
 {
 	target_t *target = find_by_address(targets, agent);
 
 	return target &&
-	       dy_flow_path_receive_report(&target->path, heard, now_ms);
+	       dy_flow_path_receive_report(&target->path, received, now_ms);
 }
 
 int dy_flow_targets_is_path_broken(const dy_flow_targets_t *targets,
@@ -271,12 +274,12 @@
 	return target && target->path.broken;
 }
 
-/* Whether an agent takes messages from here, and may pass them on to another.
- */
-static int is_relay(const target_t *target, const target_t *to, uint64_t now_ms)
+/* Returns whether target is reachable and can relay messages to another. */
+static int can_relay(const target_t *target, const target_t *to,
+		     uint64_t now_ms)
 {
 	return target->serving && !target->path.broken &&
-	       now_ms - target->heard_ms <= DY_FLOW_RELAY_AGE_MAX_MS &&
+	       now_ms - target->last_report_ms <= DY_FLOW_RELAY_AGE_MAX_MS &&
 	       target->domain != to->domain;
 }
 
@@ -298,7 +301,7 @@
 	start = (guint)(dy_flow_id_hash(flow) % list->len);
 	for (i = 0; i < MIN(list->len, DY_FLOW_RELAY_CANDIDATES_MAX); i++) {
 		target = g_ptr_array_index(list, (start + i) % list->len);
-		if (!is_relay(target, to, now_ms))
+		if (!can_relay(target, to, now_ms))
 			continue;
 		*relay = target->address;
 		found = 1;
@@ -311,17 +314,17 @@
 void dy_flow_targets_set_confirmed(dy_flow_targets_t *targets,
 				   uint64_t polled_ms)
 {
-	targets->confirmed_ms = polled_ms;
+	targets->confirmed_poll_ms = polled_ms;
 }
 
-static void note_asked(target_t *target, uint64_t now_ms)
+static void note_message(target_t *target, uint64_t now_ms)
 {
-	/* Nobody answers what was not sent: the silence begins anew. */
-	if (now_ms - target->sent_ms > DY_FLOW_UNRESPONSIVE_TIMEOUT_MS)
-		target->asked_ms = 0;
-	if (!target->asked_ms)
-		target->asked_ms = now_ms;
-	target->sent_ms = now_ms;
+	/* An agent that was sent nothing has nothing to answer: start over. */
+	if (now_ms - target->last_sent_ms > DY_FLOW_UNRESPONSIVE_TIMEOUT_MS)
+		target->unanswered_since_ms = 0;
+	if (!target->unanswered_since_ms)
+		target->unanswered_since_ms = now_ms;
+	target->last_sent_ms = now_ms;
 }
 
 void dy_flow_targets_note_sent(dy_flow_targets_t *targets,
@@ -331,7 +334,7 @@
 
 	if (!target)
 		return;
-	note_asked(target, now_ms);
+	note_message(target, now_ms);
 	dy_flow_path_note_sent(&target->path, now_ms);
 }
 
@@ -340,9 +343,10 @@
 {
 	target_t *target = find_by_address(targets, agent);
 
-	if (!target || now_ms - target->sent_ms < DY_FLOW_REPORT_INTERVAL_MS)
+	if (!target ||
+	    now_ms - target->last_sent_ms < DY_FLOW_REPORT_INTERVAL_MS)
 		return 0;
-	note_asked(target, now_ms);
+	note_message(target, now_ms);
 	dy_flow_path_note_sent(&target->path, now_ms);
 	return 1;
 }
@@ -350,20 +354,22 @@
 static int is_unresponsive(const dy_flow_targets_t *targets,
 			   const target_t *target, uint64_t now_ms)
 {
-	if (!target->serving || !target->asked_ms)
+	if (!target->serving || !target->unanswered_since_ms)
 		return 0;
-	/* It is this balancer that hears nobody. */
-	if (now_ms - targets->heard_ms > DY_FLOW_REPORT_INTERVAL_MS)
+	/* No agent reports: the fault is on this balancer's side. */
+	if (now_ms - targets->last_report_ms > DY_FLOW_REPORT_INTERVAL_MS)
 		return 0;
 	/*
-	 * Guards against an agent that is stopped as planned, and started
-	 * again: its target's flows go on. It tells control before it falls
-	 * silent, so a poll that left after that would have told of it.
+	 * The flows of an agent that is stopped and restarted as planned
+	 * continue. Such an agent tells control before it stops, so the answer
+	 * to a later poll would have reported it.
 	 */
-	if (targets->confirmed_ms <= target->asked_ms)
+	if (targets->confirmed_poll_ms <= target->unanswered_since_ms)
 		return 0;
-	return now_ms - target->sent_ms <= DY_FLOW_UNRESPONSIVE_TIMEOUT_MS &&
-	       now_ms - target->asked_ms >= DY_FLOW_UNRESPONSIVE_TIMEOUT_MS;
+	return now_ms - target->last_sent_ms <=
+		       DY_FLOW_UNRESPONSIVE_TIMEOUT_MS &&
+	       now_ms - target->unanswered_since_ms >=
+		       DY_FLOW_UNRESPONSIVE_TIMEOUT_MS;
 }
 
 int dy_flow_targets_is_unresponsive(const dy_flow_targets_t *targets,
@@ -382,13 +388,13 @@
 	if (!target || !target->suspect)
 		return 0;
 	/*
-	 * Guards against a balancer that had nothing to say to a living agent,
-	 * as after its own start: nobody reports to it then, and its first
-	 * search would leave the agent out and find its flows nowhere.
+	 * A balancer that has sent nothing to a live agent, as after its own
+	 * start, gets no reports. Its first search must not skip the agent, or
+	 * it would not find the agent's flows.
 	 */
-	if (!target->doubted_ms)
-		target->doubted_ms = now_ms;
-	return now_ms - MAX(target->heard_ms, target->doubted_ms) >
+	if (!target->lost_check_ms)
+		target->lost_check_ms = now_ms;
+	return now_ms - MAX(target->last_report_ms, target->lost_check_ms) >
 	       DY_FLOW_LOST_TIMEOUT_MS;
 }
 
@@ -407,10 +413,10 @@
 	target_t *target = find_by_address(targets, agent);
 
 	if (target)
-		target->silent_until_ms = now_ms + DY_FLOW_UNANSWERED_AVOID_MS;
+		target->avoided_until_ms = now_ms + DY_FLOW_UNANSWERED_AVOID_MS;
 }
 
-static double score_of(const target_t *target, uint64_t now_ms)
+static double compute_score(const target_t *target, uint64_t now_ms)
 {
 	const dy_flow_load_t *load = &target->load;
 	double slots = load->slots ? load->slots : 1;
@@ -423,71 +429,76 @@
 		score += DY_FLOW_COLD_PENALTY;
 	if (!target->same_domain)
 		score += DY_FLOW_REMOTE_PENALTY;
-	if (target->silent_until_ms > now_ms || target->path.broken)
+	if (target->avoided_until_ms > now_ms || target->path.broken)
 		score += 1e6;
 	return score;
 }
 
-/* Insert into a list of at most max that is ordered by rank, highest first. */
-static unsigned insert_by_rank(place_t *places, unsigned count, unsigned max,
-			       const place_t *place)
+/* Inserts into a list of at most max, highest rank first. */
+static unsigned insert_by_rank(candidate_t *candidates, unsigned count,
+			       unsigned max, const candidate_t *candidate)
 {
-	unsigned at = count;
+	unsigned pos = count;
 
-	while (at && places[at - 1].rank < place->rank)
-		at--;
-	if (at == max)
+	while (pos && candidates[pos - 1].rank < candidate->rank)
+		pos--;
+	if (pos == max)
 		return count;
 	if (count < max)
 		count++;
-	memmove(&places[at + 1], &places[at],
-		(count - at - 1) * sizeof(*places));
-	places[at] = *place;
+	memmove(&candidates[pos + 1], &candidates[pos],
+		(count - pos - 1) * sizeof(*candidates));
+	candidates[pos] = *candidate;
 	return count;
 }
 
-static uint64_t rank_of(const target_t *target, uint64_t flow_hash)
+static uint64_t compute_rank(const target_t *target, uint64_t flow_hash)
 {
 	const uint64_t pair[] = { flow_hash, target->hash };
 
 	return XXH3_64bits(pair, sizeof(pair));
 }
 
-static int takes_new_flows(const target_t *target)
+static int accepts_new_flows(const target_t *target)
 {
 	return target->serving && !target->evacuated;
 }
 
-/* The first max targets in the flow's order, all or those for new flows. */
-static unsigned order_targets(const GPtrArray *list, const dy_flow_id_t *flow,
-			      int for_new, unsigned max, place_t *places)
+/*
+ * Writes the max highest-ranked targets of a flow; with new_flow only those
+ * that accept new flows. Returns their number.
+ */
+static unsigned rank_targets(const GPtrArray *list, const dy_flow_id_t *flow,
+			     int new_flow, unsigned max,
+			     candidate_t *candidates)
 {
 	uint64_t hash = dy_flow_id_hash(flow);
 	unsigned count = 0;
-	place_t place = { 0 };
+	candidate_t candidate = { 0 };
 	guint i;
 
 	for (i = 0; i < list->len; i++) {
-		place.target = g_ptr_array_index(list, i);
-		if (for_new && !takes_new_flows(place.target))
+		candidate.target = g_ptr_array_index(list, i);
+		if (new_flow && !accepts_new_flows(candidate.target))
 			continue;
-		place.rank = rank_of(place.target, hash);
-		count = insert_by_rank(places, count, max, &place);
+		candidate.rank = compute_rank(candidate.target, hash);
+		count = insert_by_rank(candidates, count, max, &candidate);
 	}
 	return count;
 }
 
-static void sort_by_score(place_t *places, unsigned count)
+static void sort_by_score(candidate_t *candidates, unsigned count)
 {
-	place_t place;
-	unsigned at;
+	candidate_t candidate;
+	unsigned pos;
 	unsigned i;
 
 	for (i = 1; i < count; i++) {
-		place = places[i];
-		for (at = i; at && places[at - 1].score > place.score; at--)
-			places[at] = places[at - 1];
-		places[at] = place;
+		candidate = candidates[i];
+		for (pos = i;
+		     pos && candidates[pos - 1].score > candidate.score; pos--)
+			candidates[pos] = candidates[pos - 1];
+		candidates[pos] = candidate;
 	}
 }
 
@@ -497,18 +508,19 @@
 				dy_address_t list[DY_FLOW_TRIES])
 {
 	GPtrArray *all = g_hash_table_lookup(targets->services, service);
-	place_t places[DY_FLOW_CANDIDATES];
+	candidate_t candidates[DY_FLOW_CANDIDATES];
 	unsigned count;
 	unsigned i;
 
 	if (!all)
 		return 0;
-	count = order_targets(all, flow, 1, DY_FLOW_CANDIDATES, places);
+	count = rank_targets(all, flow, 1, DY_FLOW_CANDIDATES, candidates);
 	for (i = 0; i < count; i++)
-		places[i].score = score_of(places[i].target, now_ms);
-	sort_by_score(places, count);
+		candidates[i].score =
+			compute_score(candidates[i].target, now_ms);
+	sort_by_score(candidates, count);
 	for (i = 0; i < count; i++)
-		list[i] = places[i].target->address;
+		list[i] = candidates[i].target->address;
 	return count;
 }
 
@@ -524,37 +536,37 @@
 }
 
 /*
- * How many agents of each other service are searched. Of few agents all are.
- * Of more those that stand first in the flow's order: the holder was among
- * the first DY_FLOW_CANDIDATES of its service when the flow was opened.
+ * Returns how many agents of each other service to search: all if there are
+ * few agents, else the highest-ranked ones. The holder was among the first
+ * DY_FLOW_CANDIDATES of its service when the flow was opened.
  */
-static unsigned share_of_others(const dy_flow_targets_t *targets)
+static unsigned other_services_limit(const dy_flow_targets_t *targets)
 {
 	unsigned services = g_hash_table_size(targets->services);
 
-	if (targets->placed <= DY_FLOW_SEARCH_MAX)
+	if (targets->agent_count <= DY_FLOW_SEARCH_MAX)
 		return DY_FLOW_SEARCH_MAX;
 	return services <= DY_FLOW_SEARCH_SERVICES_MAX ? DY_FLOW_TRIES : 0;
 }
 
-/* The first agents of each service that is not listed. */
-static unsigned order_others(const dy_flow_targets_t *targets,
-			     const char *const *services, unsigned count,
-			     const dy_flow_id_t *flow, unsigned max,
-			     place_t *places)
+/* Ranks the first agents of each service that is not listed. */
+static unsigned rank_others(const dy_flow_targets_t *targets,
+			    const char *const *services, unsigned count,
+			    const dy_flow_id_t *flow, unsigned max,
+			    candidate_t *candidates)
 {
-	unsigned share = share_of_others(targets);
+	unsigned limit = other_services_limit(targets);
 	GHashTableIter iter;
 	unsigned found = 0;
 	gpointer name;
 	gpointer list;
 
 	g_hash_table_iter_init(&iter, targets->services);
-	while (share && g_hash_table_iter_next(&iter, &name, &list))
+	while (limit && g_hash_table_iter_next(&iter, &name, &list))
 		if (!is_listed(name, services, count))
-			found += order_targets(list, flow, 0,
-					       MIN(share, max - found),
-					       &places[found]);
+			found += rank_targets(list, flow, 0,
+					      MIN(limit, max - found),
+					      &candidates[found]);
 	return found;
 }
 
@@ -564,25 +576,25 @@
 				const dy_flow_id_t *flow, int *complete,
 				dy_address_t list[DY_FLOW_SEARCH_MAX])
 {
-	place_t places[DY_FLOW_SEARCH_MAX];
-	unsigned room = DY_FLOW_SEARCH_MAX;
+	candidate_t candidates[DY_FLOW_SEARCH_MAX];
+	unsigned listed_max = DY_FLOW_SEARCH_MAX;
 	unsigned count = 0;
 	const GPtrArray *all;
 	unsigned i;
 
-	if (targets->placed > DY_FLOW_SEARCH_MAX)
-		room -= DY_FLOW_SEARCH_RESERVED;
+	if (targets->agent_count > DY_FLOW_SEARCH_MAX)
+		listed_max -= DY_FLOW_SEARCH_RESERVED;
 	for (i = 0; i < service_count; i++) {
 		all = g_hash_table_lookup(targets->services, services[i]);
 		if (all)
-			count += order_targets(all, flow, 0, room - count,
-					       &places[count]);
+			count += rank_targets(all, flow, 0, listed_max - count,
+					      &candidates[count]);
 	}
-	count += order_others(targets, services, service_count, flow,
-			      DY_FLOW_SEARCH_MAX - count, &places[count]);
+	count += rank_others(targets, services, service_count, flow,
+			     DY_FLOW_SEARCH_MAX - count, &candidates[count]);
 	for (i = 0; i < count; i++)
-		list[i] = places[i].target->address;
-	*complete = count == targets->placed;
+		list[i] = candidates[i].target->address;
+	*complete = count == targets->agent_count;
 	return count;
 }
 
@@ -594,6 +606,6 @@
 	guint i;
 
 	for (i = 0; all && i < all->len; i++)
-		count += takes_new_flows(g_ptr_array_index(all, i));
+		count += accepts_new_flows(g_ptr_array_index(all, i));
 	return count;
 }
--- a/src/version/successor.c
+++ b/src/version/successor.c
@@ -3,18 +3,18 @@
 #include <glib.h>
 #include <xxhash.h>
 
-/* In network byte order, so that every machine computes the same. */
-static uint64_t weigh(uint64_t key, uint64_t member)
+/* Uses network byte order, so that every VM computes the same weight. */
+static uint64_t rendezvous_weight(uint64_t key, uint64_t member)
 {
 	uint64_t pair[2] = { GUINT64_TO_BE(key), GUINT64_TO_BE(member) };
 
 	return XXH3_64bits(pair, sizeof(pair));
 }
 
-static int is_better(uint64_t key, uint64_t member, uint64_t other)
+static int ranks_higher(uint64_t key, uint64_t member, uint64_t other)
 {
-	uint64_t weight = weigh(key, member);
-	uint64_t other_weight = weigh(key, other);
+	uint64_t weight = rendezvous_weight(key, member);
+	uint64_t other_weight = rendezvous_weight(key, other);
 
 	if (weight != other_weight)
 		return weight > other_weight;
@@ -28,7 +28,7 @@
 	unsigned i;
 
 	for (i = 1; i < count; i++)
-		if (is_better(session, members[i], best))
+		if (ranks_higher(session, members[i], best))
 			best = members[i];
 	return best;
 }
@@ -42,7 +42,7 @@
 
 	for (i = 0; i < count; i++) {
 		for (at = len; at; at--) {
-			if (!is_better(self, candidates[i], chosen[at - 1]))
+			if (!ranks_higher(self, candidates[i], chosen[at - 1]))
 				break;
 			if (at < DY_SUCCESSORS_MAX)
 				chosen[at] = chosen[at - 1];
--- a/tests/test_document.c
+++ b/tests/test_document.c
@@ -5,7 +5,7 @@
 
 #include "fake_suite.h"
 
-#define GOOD                                                    \
+#define VALID_DOCUMENT                                          \
 	"[document]\nweigh = imbalance\n"                       \
 	"[service readings]\naddress = 10.20.0.1:4000\n"        \
 	"program = 0x2A000001\nversion = 1\nidempotent = 2;5\n" \
@@ -27,9 +27,9 @@
 	g_error_free(error);
 }
 
-START_TEST(good_document_is_read)
+START_TEST(parses_valid_document)
 {
-	dy_document_t *document = parse_text(GOOD, NULL);
+	dy_document_t *document = parse_text(VALID_DOCUMENT, NULL);
 	const dy_service_t *service;
 
 	ck_assert_ptr_nonnull(document);
@@ -45,9 +45,9 @@
 }
 END_TEST
 
-START_TEST(only_fitting_targets_are_accepted)
+START_TEST(accepts_only_matching_targets)
 {
-	dy_document_t *document = parse_text(GOOD, NULL);
+	dy_document_t *document = parse_text(VALID_DOCUMENT, NULL);
 	const dy_service_t *service = dy_document_service(document, 0);
 	dy_member_info_t info = { 0 };
 
@@ -68,45 +68,47 @@
 }
 END_TEST
 
-START_TEST(wrong_documents_are_refused)
+START_TEST(refuses_invalid_documents)
 {
 	expect_refused("x", G_KEY_FILE_ERROR_PARSE, "x");
 	expect_refused("[document]\n", DY_DOCUMENT_ERROR_KEY, "no [service");
-	expect_refused(GOOD "quue = 4\n", DY_DOCUMENT_ERROR_KEY, "quue");
-	expect_refused(GOOD "slots = 0\n", DY_DOCUMENT_ERROR_VALUE, "slots");
-	expect_refused(GOOD "slots = 4294967296\n", DY_DOCUMENT_ERROR_VALUE,
+	expect_refused(VALID_DOCUMENT "quue = 4\n", DY_DOCUMENT_ERROR_KEY,
+		       "quue");
+	expect_refused(VALID_DOCUMENT "slots = 0\n", DY_DOCUMENT_ERROR_VALUE,
 		       "slots");
-	expect_refused(GOOD "objective = 100\n", DY_DOCUMENT_ERROR_VALUE,
-		       "objective");
-	expect_refused(GOOD "[other]\n", DY_DOCUMENT_ERROR_KEY, "other");
+	expect_refused(VALID_DOCUMENT "slots = 4294967296\n",
+		       DY_DOCUMENT_ERROR_VALUE, "slots");
+	expect_refused(VALID_DOCUMENT "objective = 100\n",
+		       DY_DOCUMENT_ERROR_VALUE, "objective");
+	expect_refused(VALID_DOCUMENT "[other]\n", DY_DOCUMENT_ERROR_KEY,
+		       "other");
 	expect_refused("[service a]\naddress = 1.2.3.4:1\nversion = 1\n",
 		       DY_DOCUMENT_ERROR_KEY, "program");
-	expect_refused(GOOD "[service b]\naddress = 10.20.0.1:4000\n"
-			    "program = 1\nversion = 1\n",
+	expect_refused(VALID_DOCUMENT "[service b]\naddress = 10.20.0.1:4000\n"
+				      "program = 1\nversion = 1\n",
 		       DY_DOCUMENT_ERROR_CONFLICT, "readings");
 }
 END_TEST
 
 /*
- * An operator adds "slots = 70" below an older "slots = 7" and submits. The
- * key file parser takes the last one without a word, and the target gets ten
- * times its load at dusk. The document must be refused.
+ * An operator adds "slots = 70" below an older "slots = 7". The key file parser
+ * silently keeps the last one, so the target would get ten times its load.
  */
-START_TEST(key_that_stands_twice_is_refused)
+START_TEST(refuses_duplicate_key)
 {
-	expect_refused(GOOD "slots = 7\nslots = 70\n", DY_DOCUMENT_ERROR_KEY,
-		       "twice");
-	expect_refused(GOOD "[service readings]\nslots = 70\n",
+	expect_refused(VALID_DOCUMENT "slots = 7\nslots = 70\n",
+		       DY_DOCUMENT_ERROR_KEY, "twice");
+	expect_refused(VALID_DOCUMENT "[service readings]\nslots = 70\n",
 		       DY_DOCUMENT_ERROR_KEY, "twice");
 }
 END_TEST
 
-START_TEST(bytes_behind_a_nul_are_refused)
+START_TEST(refuses_bytes_after_nul)
 {
 	GError *error = NULL;
 
-	ck_assert_ptr_null(
-		dy_document_parse(GOOD "\0[x]", sizeof(GOOD) + 3, &error));
+	ck_assert_ptr_null(dy_document_parse(
+		VALID_DOCUMENT "\0[x]", sizeof(VALID_DOCUMENT) + 3, &error));
 	ck_assert_int_eq(error->code, DY_DOCUMENT_ERROR_SYNTAX);
 	g_error_free(error);
 }
@@ -115,12 +117,9 @@
 int main(void)
 {
 	const TTest *const tests[] = {
-		good_document_is_read,
-		only_fitting_targets_are_accepted,
-		wrong_documents_are_refused,
-		key_that_stands_twice_is_refused,
-		bytes_behind_a_nul_are_refused,
-		NULL,
+		parses_valid_document,	   accepts_only_matching_targets,
+		refuses_invalid_documents, refuses_duplicate_key,
+		refuses_bytes_after_nul,   NULL,
 	};
 
 	return fake_suite_run("document", tests);
--- a/tests/test_document_pack.c
+++ b/tests/test_document_pack.c
@@ -4,9 +4,9 @@
 
 #include "fake_suite.h"
 
-#define MOST 200000
+#define MAX_BYTES 200000
 
-START_TEST(packed_bytes_come_back)
+START_TEST(unpack_restores_packed_bytes)
 {
 	GString *text = g_string_new(NULL);
 	GByteArray *packed;
@@ -17,11 +17,11 @@
 		g_string_append_printf(text, "{\"name\":\"r-%d\"},", i);
 	packed = dy_document_pack(text->str, text->len);
 	ck_assert_uint_lt(packed->len, text->len / 4);
-	plain = dy_document_unpack(packed->data, packed->len, MOST);
+	plain = dy_document_unpack(packed->data, packed->len, MAX_BYTES);
 	ck_assert_uint_eq(plain->len, text->len);
 	ck_assert_mem_eq(plain->data, text->str, text->len);
 	g_byte_array_unref(plain);
-	/* The same bytes pack alike, so that their digest is one. */
+	/* Packing is deterministic, so equal documents have one digest. */
 	plain = dy_document_pack(text->str, text->len);
 	ck_assert_uint_eq(plain->len, packed->len);
 	ck_assert_mem_eq(plain->data, packed->data, packed->len);
@@ -31,7 +31,7 @@
 }
 END_TEST
 
-START_TEST(empty_and_unpacked_bytes_are_taken)
+START_TEST(unpacks_empty_and_plain_bytes)
 {
 	GByteArray *packed = dy_document_pack("", 0);
 	GByteArray *plain = dy_document_unpack(packed->data, packed->len, 0);
@@ -39,14 +39,14 @@
 	ck_assert_uint_eq(plain->len, 0);
 	g_byte_array_unref(plain);
 	g_byte_array_unref(packed);
-	plain = dy_document_unpack("[document]", 10, MOST);
+	plain = dy_document_unpack("[document]", 10, MAX_BYTES);
 	ck_assert_mem_eq(plain->data, "[document]", 10);
 	g_byte_array_unref(plain);
 }
 END_TEST
 
-/* Bytes decayed, were cut, or claim to be huge: none may be half taken. */
-START_TEST(damaged_bytes_are_refused)
+/* Corrupted, truncated or oversized input must not be unpacked in part. */
+START_TEST(refuses_damaged_bytes)
 {
 	char text[500];
 	GByteArray *packed;
@@ -56,10 +56,12 @@
 	memset(text, 'a', sizeof(text));
 	packed = dy_document_pack(text, sizeof(text));
 	for (i = 8; i < packed->len; i++)
-		ck_assert_ptr_null(dy_document_unpack(packed->data, i, MOST));
+		ck_assert_ptr_null(
+			dy_document_unpack(packed->data, i, MAX_BYTES));
 	for (i = 4; i < packed->len; i++) {
 		packed->data[i] ^= 0x55;
-		plain = dy_document_unpack(packed->data, packed->len, MOST);
+		plain = dy_document_unpack(packed->data, packed->len,
+					   MAX_BYTES);
 		ck_assert_ptr_null(plain);
 		packed->data[i] ^= 0x55;
 	}
@@ -71,9 +73,9 @@
 int main(void)
 {
 	const TTest *const tests[] = {
-		packed_bytes_come_back,
-		empty_and_unpacked_bytes_are_taken,
-		damaged_bytes_are_refused,
+		unpack_restores_packed_bytes,
+		unpacks_empty_and_plain_bytes,
+		refuses_damaged_bytes,
 		NULL,
 	};
 
--- a/tests/test_flow_path.c
+++ b/tests/test_flow_path.c
@@ -4,7 +4,7 @@
 
 static dy_flow_path_t path;
 
-static void begin(void)
+static void setup(void)
 {
 	dy_flow_path_t fresh = { 0 };
 
@@ -12,7 +12,7 @@
 	ck_assert(!dy_flow_path_receive_report(&path, 10, 1000));
 }
 
-/* Send so many from from_ms on, one each 20 ms. */
+/* Send count messages from from_ms on, one every 20 ms. */
 static void send_from(uint64_t from_ms, unsigned count)
 {
 	unsigned i;
@@ -21,22 +21,22 @@
 		dy_flow_path_note_sent(&path, from_ms + 20 * i);
 }
 
-/* Requests go on into a path that lets nothing through. */
-START_TEST(path_that_lets_nothing_through_is_broken)
+/* Requests must not be sent over a path that loses everything. */
+START_TEST(path_without_deliveries_is_broken)
 {
-	begin();
+	setup();
 	send_from(1010, 20);
 	ck_assert(dy_flow_path_receive_report(&path, 10, 1400));
 	ck_assert(path.broken);
-	/* Told once. */
+	/* The change is reported once. */
 	ck_assert(!dy_flow_path_receive_report(&path, 10, 1600));
 }
 END_TEST
 
-/* A detour goes on though the straight path is whole. */
-START_TEST(path_is_whole_once_anything_arrives)
+/* The relay must not be used after the direct path has recovered. */
+START_TEST(path_recovers_after_one_delivery)
 {
-	begin();
+	setup();
 	send_from(1010, 20);
 	dy_flow_path_receive_report(&path, 10, 1400);
 	ck_assert(dy_flow_path_receive_report(&path, 11, 1600));
@@ -47,22 +47,22 @@
 }
 END_TEST
 
-/* A few packets that were lost by chance take a good path out of use. */
-START_TEST(few_losses_break_no_path)
+/* Some random packet loss must not disable a working path. */
+START_TEST(few_losses_do_not_break_path)
 {
-	begin();
+	setup();
 	send_from(1010, DY_FLOW_PATH_LOST_MIN - 1);
 	ck_assert(!dy_flow_path_receive_report(&path, 10, 9000));
 	ck_assert(!path.broken);
 }
 END_TEST
 
-/* A report that crosses a burst of packets says that none of them arrived. */
-START_TEST(report_that_crosses_a_burst_breaks_no_path)
+/* A report sent before a burst of messages does not count any of them. */
+START_TEST(report_sent_before_burst_does_not_break_path)
 {
 	unsigned i;
 
-	begin();
+	setup();
 	for (i = 0; i < 50; i++)
 		dy_flow_path_note_sent(&path, 1195);
 	ck_assert(!dy_flow_path_receive_report(&path, 10, 1200));
@@ -70,10 +70,10 @@
 }
 END_TEST
 
-/* An agent that does not count, or begins anew, is taken for deaf. */
-START_TEST(agent_that_does_not_count_breaks_no_path)
+/* An agent that does not count, or restarted, must not look unreachable. */
+START_TEST(agent_without_count_does_not_break_path)
 {
-	begin();
+	setup();
 	send_from(1010, 20);
 	ck_assert(!dy_flow_path_receive_report(&path, 0, 1400));
 	send_from(1410, 20);
@@ -87,11 +87,11 @@
 int main(void)
 {
 	const TTest *const tests[] = {
-		path_that_lets_nothing_through_is_broken,
-		path_is_whole_once_anything_arrives,
-		few_losses_break_no_path,
-		report_that_crosses_a_burst_breaks_no_path,
-		agent_that_does_not_count_breaks_no_path,
+		path_without_deliveries_is_broken,
+		path_recovers_after_one_delivery,
+		few_losses_do_not_break_path,
+		report_sent_before_burst_does_not_break_path,
+		agent_without_count_does_not_break_path,
 		NULL,
 	};
 
--- a/tests/test_flow_targets.c
+++ b/tests/test_flow_targets.c
@@ -7,7 +7,7 @@
 
 #define SERVICE "readings"
 
-/* The agent of a number: its address is all that tells it from others. */
+/* Returns the address of an agent, which identifies it. */
 static dy_address_t agent(unsigned number)
 {
 	dy_address_t address;
@@ -24,14 +24,14 @@
 	return id;
 }
 
-static void set_of(dy_flow_targets_t *targets, const char *service,
-		   unsigned number, uint64_t start, dy_member_state_t state,
-		   const char *domain)
+static void set_service_member(dy_flow_targets_t *targets, const char *service,
+			       unsigned number, uint64_t incarnation,
+			       dy_member_state_t state, const char *domain)
 {
 	dy_member_t member = { 0 };
 
 	member.id = number;
-	member.incarnation = start;
+	member.incarnation = incarnation;
 	member.state = state;
 	member.info.kind = DY_MEMBER_AGENT;
 	member.info.name = "a";
@@ -44,10 +44,12 @@
 	dy_flow_targets_set_member(targets, &member);
 }
 
-static void set(dy_flow_targets_t *targets, unsigned number, uint64_t start,
-		dy_member_state_t state, const char *domain)
+static void set_member(dy_flow_targets_t *targets, unsigned number,
+		       uint64_t incarnation, dy_member_state_t state,
+		       const char *domain)
 {
-	set_of(targets, SERVICE, number, start, state, domain);
+	set_service_member(targets, SERVICE, number, incarnation, state,
+			   domain);
 }
 
 static dy_flow_targets_t *create(unsigned count)
@@ -56,7 +58,7 @@
 	unsigned i;
 
 	for (i = 1; i <= count; i++)
-		set(targets, i, 10 + i, DY_MEMBER_SERVING, "d1");
+		set_member(targets, i, 10 + i, DY_MEMBER_SERVING, "d1");
 	return targets;
 }
 
@@ -74,7 +76,7 @@
 	return address->ip[DY_IP_BYTES - 1];
 }
 
-/* Open a flow as a balancer does; returns the target's number, 0 if none. */
+/* Open a flow as a balancer does. Returns the target's number, or 0. */
 static unsigned open_flow(dy_flow_targets_t *targets, unsigned number)
 {
 	dy_address_t list[DY_FLOW_TRIES];
@@ -99,11 +101,11 @@
 }
 
 /*
- * Three hundred long flows are opened within one moment, between two reports
- * of load. By the last report alone all go to the target that was emptiest
- * then; by hash alone the fullest gets half as many again as the mean.
+ * 301 long flows are opened between two load reports. By the last report alone
+ * all go to the target that was the emptiest then; by hash alone the fullest
+ * target gets 1.5 times the mean.
  */
-START_TEST(burst_between_two_reports_is_spread)
+START_TEST(burst_between_reports_is_balanced)
 {
 	dy_flow_targets_t *targets = create(7);
 	unsigned opened[8] = { 0 };
@@ -120,8 +122,8 @@
 }
 END_TEST
 
-/* Of forty targets, among eight each: the fullest stays near the mean. */
-START_TEST(many_targets_are_balanced_among_a_few_each)
+/* Eight candidates of 40 targets keep the fullest target near the mean. */
+START_TEST(many_targets_are_balanced_by_few_candidates)
 {
 	dy_flow_targets_t *targets = create(40);
 	unsigned opened[41] = { 0 };
@@ -136,10 +138,10 @@
 END_TEST
 
 /*
- * A target turns slow: its requests wait, and its flows are as many as the
- * others'. New flows that go there are late with their first request.
+ * A target becomes slow: its requests are queued, but it has as many flows as
+ * the others. The first request of a new flow would be late there.
  */
-START_TEST(slow_target_gets_no_new_flow_while_requests_wait)
+START_TEST(target_with_queued_requests_gets_no_new_flow)
 {
 	dy_flow_targets_t *targets = create(7);
 	unsigned i;
@@ -153,10 +155,10 @@
 END_TEST
 
 /*
- * A long flow's target holds many idle flows and another few busy ones: a
- * slot that is taken is not a queue, so the flows decide.
+ * One target has many idle flows, another one few busy flows and no queue. The
+ * number of flows decides, since a busy slot delays nothing by itself.
  */
-START_TEST(busy_slots_alone_do_not_turn_flows_away)
+START_TEST(busy_slots_without_queue_do_not_repel_flows)
 {
 	dy_flow_targets_t *targets = create(2);
 
@@ -167,8 +169,8 @@
 }
 END_TEST
 
-/* An empty target joins: it is cold, and would get every flow for seconds. */
-START_TEST(cold_target_is_set_back)
+/* A target that just joined is empty and would get every flow for seconds. */
+START_TEST(cold_target_is_penalized)
 {
 	dy_flow_targets_t *targets = create(3);
 
@@ -181,8 +183,8 @@
 END_TEST
 
 /*
- * Bytes between domains are paid for. Short flows stay in the domain; long
- * ones do not, where that would make its targets fuller than the others.
+ * Traffic between domains costs money. Short flows stay in the domain; long
+ * ones do not if that would make its targets fuller than the others.
  */
 START_TEST(own_domain_is_preferred_between_equals)
 {
@@ -190,8 +192,8 @@
 	unsigned own = 0;
 	unsigned i;
 
-	set(targets, 1, 1, DY_MEMBER_SERVING, "d1");
-	set(targets, 2, 2, DY_MEMBER_SERVING, "d2");
+	set_member(targets, 1, 1, DY_MEMBER_SERVING, "d1");
+	set_member(targets, 2, 2, DY_MEMBER_SERVING, "d2");
 	ck_assert_uint_eq(open_flow(targets, 0), 1);
 	for (i = 1; i < 100; i++)
 		own += open_flow(targets, i) == 1;
@@ -201,10 +203,10 @@
 END_TEST
 
 /*
- * An agent dies and its lease still runs: the copy of an opening packet must
- * not go there again.
+ * An agent has failed but its lease has not expired: a retransmitted opening
+ * packet must not go there again.
  */
-START_TEST(silent_target_is_chosen_last_until_it_speaks)
+START_TEST(unanswered_target_is_last_until_it_reports)
 {
 	dy_flow_targets_t *targets = create(2);
 	dy_address_t list[DY_FLOW_TRIES];
@@ -226,45 +228,45 @@
 }
 END_TEST
 
-/* Neither draining nor suspect, nor one that has left, gets a new flow. */
+/* Draining, suspect and ended targets must not get new flows. */
 START_TEST(only_serving_targets_are_chosen)
 {
 	dy_flow_targets_t *targets = create(4);
 	unsigned i;
 
-	set(targets, 1, 11, DY_MEMBER_DRAINING, "d1");
-	set(targets, 2, 12, DY_MEMBER_SUSPECT, "d1");
-	set(targets, 3, 13, DY_MEMBER_LEFT, "d1");
+	set_member(targets, 1, 11, DY_MEMBER_DRAINING, "d1");
+	set_member(targets, 2, 12, DY_MEMBER_SUSPECT, "d1");
+	set_member(targets, 3, 13, DY_MEMBER_LEFT, "d1");
 	for (i = 0; i < 50; i++)
 		ck_assert_uint_eq(open_flow(targets, i), 4);
 	ck_assert_uint_eq(dy_flow_targets_count(targets, SERVICE), 1);
-	set(targets, 4, 14, DY_MEMBER_DEAD, "d1");
+	set_member(targets, 4, 14, DY_MEMBER_DEAD, "d1");
 	ck_assert_uint_eq(open_flow(targets, 0), 0);
 	dy_flow_targets_destroy(targets);
 }
 END_TEST
 
 /*
- * A name is in use again, and the end of its earlier start is told late: the
- * new start must not be dropped with it.
+ * A name is reused, and the end of its previous incarnation arrives late. It
+ * must not remove the new incarnation.
  */
-START_TEST(late_end_of_an_earlier_start_changes_nothing)
+START_TEST(ignores_late_end_of_older_incarnation)
 {
 	dy_flow_targets_t *targets = create(1);
 
-	set(targets, 1, 20, DY_MEMBER_SERVING, "d1");
-	set(targets, 1, 11, DY_MEMBER_DEAD, "d1");
+	set_member(targets, 1, 20, DY_MEMBER_SERVING, "d1");
+	set_member(targets, 1, 11, DY_MEMBER_DEAD, "d1");
 	ck_assert_uint_eq(open_flow(targets, 0), 1);
 	dy_flow_targets_destroy(targets);
 }
 END_TEST
 
 /*
- * A balancer that never saw a flow searches for it while targets came and
- * went since it was opened. The holder must be among the first that it asks,
- * or every such packet walks over all of them.
+ * A balancer that never saw a flow searches for it after targets joined and
+ * left. The holder must be among the first agents of the list; otherwise every
+ * such packet is passed along all agents.
  */
-START_TEST(holder_is_found_among_the_first_after_changes)
+START_TEST(holder_is_among_first_after_member_changes)
 {
 	dy_flow_targets_t *before = create(40);
 	dy_flow_targets_t *after = create(44);
@@ -274,7 +276,7 @@
 	unsigned at;
 	unsigned i;
 
-	set(after, 7, 17, DY_MEMBER_DRAINING, "d1");
+	set_member(after, 7, 17, DY_MEMBER_DRAINING, "d1");
 	for (i = 0; i < 500; i++) {
 		holder = open_flow(before, i);
 		search(after, i, &count, list);
@@ -287,34 +289,34 @@
 END_TEST
 
 /*
- * An agent was killed with its VM: it is lost, and callers wait in vain. One
- * that is cut off from control alone still speaks here, and is not.
+ * An agent that failed with its VM is lost, and its callers need not wait. An
+ * agent that only lost its connection to control still reports here.
  */
-START_TEST(agent_is_lost_once_all_miss_it)
+START_TEST(suspect_agent_without_reports_is_lost)
 {
 	dy_flow_targets_t *targets = create(3);
 	dy_address_t second = agent(2);
 
 	ck_assert(!dy_flow_targets_is_lost(targets, &second,
 					   DY_FLOW_LOST_TIMEOUT_MS + 1));
-	set(targets, 2, 12, DY_MEMBER_SUSPECT, "d1");
+	set_member(targets, 2, 12, DY_MEMBER_SUSPECT, "d1");
 	ck_assert(!dy_flow_targets_is_lost(targets, &second, 50000));
 	ck_assert(!dy_flow_targets_is_lost(targets, &second,
 					   50000 + DY_FLOW_LOST_TIMEOUT_MS));
 	ck_assert(dy_flow_targets_is_lost(targets, &second,
 					  50000 + DY_FLOW_LOST_TIMEOUT_MS + 1));
-	set(targets, 2, 12, DY_MEMBER_SERVING, "d1");
-	set(targets, 2, 12, DY_MEMBER_SUSPECT, "d1");
+	set_member(targets, 2, 12, DY_MEMBER_SERVING, "d1");
+	set_member(targets, 2, 12, DY_MEMBER_SUSPECT, "d1");
 	ck_assert(!dy_flow_targets_is_lost(targets, &second, 90000));
 	dy_flow_targets_destroy(targets);
 }
 END_TEST
 
 /*
- * An entry named another service when a flow was opened, and a balancer that
- * knows the newest version only searches for it.
+ * The entry named another service when the flow was opened, and the searching
+ * balancer has only the newest version of the entry.
  */
-START_TEST(agents_of_other_services_are_searched_too)
+START_TEST(searches_agents_of_other_services)
 {
 	dy_flow_targets_t *targets = create(3);
 	const char *services[] = { "maps" };
@@ -331,11 +333,11 @@
 END_TEST
 
 /*
- * A day doubled one service to over sixty agents, and an entry of the other
- * service was turned to it. The other service's agents were asked no more, and
- * packets of its open flows reached servers of the first only.
+ * One service grew to over 60 agents, and an entry of another service was
+ * changed to it. The agents of the other service were no longer searched, so
+ * packets of its open flows reached only targets of the first service.
  */
-START_TEST(other_services_are_searched_among_a_hundred)
+START_TEST(searches_other_services_among_100_agents)
 {
 	dy_flow_targets_t *targets = create(100);
 	const char *services[] = { "maps" };
@@ -351,9 +353,8 @@
 }
 END_TEST
 
-/* Whether the agent stands in a list. */
-static int stands_in(const dy_address_t *address, const dy_address_t *list,
-		     unsigned count)
+static int is_in_list(const dy_address_t *address, const dy_address_t *list,
+		      unsigned count)
 {
 	unsigned i;
 
@@ -364,11 +365,12 @@
 }
 
 /*
- * Four hundred agents of three services; an entry is turned from one to another
- * and all balancers start anew. The agents of the first service were asked no
- * more, and packets of its open flows reached servers of the other only.
+ * With 400 agents of three services, an entry was changed from one service to
+ * another and all balancers restarted. The agents of the first service were no
+ * longer searched, so packets of its open flows reached only targets of the
+ * other one.
  */
-START_TEST(flow_of_a_turned_entry_is_found_among_hundreds)
+START_TEST(finds_flow_of_changed_entry_among_400_agents)
 {
 	static const char *const names[] = { SERVICE, "maps", "files" };
 	dy_flow_targets_t *targets = dy_flow_targets_create("d1");
@@ -380,21 +382,22 @@
 	int complete;
 
 	for (i = 1; i <= 400; i++)
-		set_of(targets, names[i % 3], i, i, DY_MEMBER_SERVING, "d1");
+		set_service_member(targets, names[i % 3], i, i,
+				   DY_MEMBER_SERVING, "d1");
 	for (i = 0; i < 100; i++) {
 		id = flow(i);
 		dy_flow_targets_choose(targets, "maps", &id, 0, chosen);
 		count = dy_flow_targets_search(targets, names, 1, &id,
 					       &complete, searched);
-		ck_assert(stands_in(&chosen[0], searched, count));
+		ck_assert(is_in_list(&chosen[0], searched, count));
 		ck_assert(!complete);
 	}
 	dy_flow_targets_destroy(targets);
 }
 END_TEST
 
-/* More agents than are searched: what is not found is not known to be over. */
-START_TEST(search_of_too_many_is_not_complete)
+/* If not all agents are searched, a flow not found may still be open. */
+START_TEST(search_above_limit_is_incomplete)
 {
 	dy_flow_targets_t *targets = create(DY_FLOW_SEARCH_MAX + 1);
 	dy_address_t list[DY_FLOW_SEARCH_MAX];
@@ -406,23 +409,23 @@
 }
 END_TEST
 
-/* A new flow is opened in a domain that its operator has emptied. */
-START_TEST(evacuated_domain_gets_no_new_flow_and_keeps_its_own)
+/* No new flow may be opened in a domain that an operator evacuated. */
+START_TEST(evacuated_domain_keeps_flows_but_gets_no_new_ones)
 {
 	dy_flow_targets_t *targets = create(2);
 	dy_address_t list[DY_FLOW_SEARCH_MAX];
 	unsigned count;
 	unsigned i;
 
-	set(targets, 3, 13, DY_MEMBER_SERVING, "d2");
+	set_member(targets, 3, 13, DY_MEMBER_SERVING, "d2");
 	dy_flow_targets_set_domain(targets, "d1", 1);
 	for (i = 0; i < 50; i++)
 		ck_assert_uint_eq(open_flow(targets, i), 3);
 	ck_assert_uint_eq(dy_flow_targets_count(targets, SERVICE), 1);
 	ck_assert(search(targets, 1, &count, list));
 	ck_assert_uint_eq(count, 3);
-	/* One that joins later is in the same domain. */
-	set(targets, 4, 14, DY_MEMBER_SERVING, "d1");
+	/* An agent that joins an evacuated domain later. */
+	set_member(targets, 4, 14, DY_MEMBER_SERVING, "d1");
 	ck_assert_uint_eq(dy_flow_targets_count(targets, SERVICE), 1);
 	dy_flow_targets_set_domain(targets, "d2", 1);
 	ck_assert_uint_eq(open_flow(targets, 1), 0);
@@ -435,22 +438,22 @@
 int main(void)
 {
 	const TTest *const tests[] = {
-		burst_between_two_reports_is_spread,
-		many_targets_are_balanced_among_a_few_each,
-		slow_target_gets_no_new_flow_while_requests_wait,
-		busy_slots_alone_do_not_turn_flows_away,
-		cold_target_is_set_back,
+		burst_between_reports_is_balanced,
+		many_targets_are_balanced_by_few_candidates,
+		target_with_queued_requests_gets_no_new_flow,
+		busy_slots_without_queue_do_not_repel_flows,
+		cold_target_is_penalized,
 		own_domain_is_preferred_between_equals,
-		silent_target_is_chosen_last_until_it_speaks,
+		unanswered_target_is_last_until_it_reports,
 		only_serving_targets_are_chosen,
-		late_end_of_an_earlier_start_changes_nothing,
-		holder_is_found_among_the_first_after_changes,
-		agent_is_lost_once_all_miss_it,
-		agents_of_other_services_are_searched_too,
-		other_services_are_searched_among_a_hundred,
-		flow_of_a_turned_entry_is_found_among_hundreds,
-		search_of_too_many_is_not_complete,
-		evacuated_domain_gets_no_new_flow_and_keeps_its_own,
+		ignores_late_end_of_older_incarnation,
+		holder_is_among_first_after_member_changes,
+		suspect_agent_without_reports_is_lost,
+		searches_agents_of_other_services,
+		searches_other_services_among_100_agents,
+		finds_flow_of_changed_entry_among_400_agents,
+		search_above_limit_is_incomplete,
+		evacuated_domain_keeps_flows_but_gets_no_new_ones,
 		NULL,
 	};
 
