--- a/include/damaskyard/pick.h
+++ b/include/damaskyard/pick.h
@@ -2,34 +2,35 @@
 #define DAMASKYARD_PICK_H
 
 /*
- * The choice of a target for a new flow, made on every balancer alone. Pure:
- * no network, no clock, no allocation. Flows last for hours and stay where
- * they were put, so a bad choice lasts as long.
+ * Selection of a target for a new flow. Each balancer decides on its own. No
+ * I/O, no clock, no allocation. Flows last for hours and do not move, so a bad
+ * choice lasts as long.
  *
- * Load pattern: mechanism; without it
- * - many balancers, one report: random choice of two, own flows counted; all
- *   flows of a report period go to one target
- * - unequal load: fewer free slots or connections lose; a slow target gets as
+ * Load pattern: mechanism; what happens without it
+ * - many balancers share one report: power of two choices, counting own new
+ *   flows; all flows of a report interval go to one target
+ * - unequal load: prefer free slots and connections; a slow target gets as
  *   many flows as a fast one
- * - cold target: slow start; it is emptiest, gets each flow, and stalls
- * - target fails or stalls: ejection, then a trickle; flows are opened into a
- *   void
- * - balancer cut off: never ejects most of a service; one bad link empties a
- *   service
- * - target reports falsely: trust; one that looks idle and refuses gets all
- * - a shunned target is well again: trouble fades with the age of its report;
- *   it is shunned for good, as no answer tells of its recovery
- * - connections run out: each balancer its share of what is free; openings
- *   above the cap, refused there
+ * - cold target: slow start; it is the emptiest, gets every flow, and stalls
+ * - failed or stalled target: ejection, then probing by single flows; flows
+ *   are opened to a dead target
+ * - balancer loses its network: never eject most of a service; one bad link
+ *   removes all targets
+ * - target reports false load: trust in reports; a target that looks idle and
+ *   refuses gets all flows
+ * - avoided target recovers: penalties decay with the age of the report; the
+ *   target is avoided for good, as no answer reports its recovery
+ * - connections run out: each balancer uses its share of the free ones; flows
+ *   above the cap are opened and refused
  *
- * The agent alone can keep the 2,000-connection cap for certain, and refuses
- * an opening above it; the choice keeps balancers from running into it.
+ * Only the agent can enforce the cap of 2,000 connections; it refuses new
+ * flows above it. The selection keeps balancers from reaching the cap.
  *
- * The work of a pick is bounded by DY_PICK_SAMPLE targets, however many
- * stand behind the address: 110,000 targets behind 34,000 addresses are 3.2
- * for each on average, but one address may have thousands.
+ * DY_PICK_SAMPLE bounds the work per call, however many targets share an
+ * address: 110,000 targets behind 34,000 addresses are 3.2 per address on
+ * average, but one address may have thousands.
  *
- * Times are milliseconds of a monotonic clock.
+ * Times are in milliseconds of a monotonic clock.
  */
 
 #include <stddef.h>
@@ -37,7 +38,7 @@
 
 #include <glib.h>
 
-/* Targets looked at for one pick; all of them where there are no more. */
+/* Targets sampled per call; services up to this size are sampled whole. */
 #define DY_PICK_SAMPLE 16
 
 /* Full trust in a target's reports. */
@@ -45,30 +46,30 @@
 
 /*
  * One target as one balancer sees it. The owner sets the first block when the
- * target joins or its registration changes; dy_pick_note_opening() and its kin
- * keep the rest. Zero is a good start for the rest but trust: use
- * dy_pick_target_init().
+ * target joins or its registration changes. The dy_pick_note_*() functions
+ * maintain the rest, which dy_pick_target_init() initializes: all zero but
+ * trust.
  */
 typedef struct dy_pick_target {
-	uint64_t cold_since_ms; /* joined or restarted then */
-	uint32_t session_cap;	/* connections at most */
+	uint64_t cold_since_ms; /* time at which it joined or restarted */
+	uint32_t session_cap;	/* maximum connections */
 	uint16_t domain;	/* index of its failure domain */
-	uint8_t draining;	/* leaving: never picked */
+	uint8_t draining;	/* never picked */
 
-	uint8_t trust;		      /* in its reports, up to TRUST_FULL */
-	uint16_t slots;		      /* the newest report */
-	uint16_t in_flight;	      /* the newest report */
-	uint16_t queued;	      /* the newest report */
+	uint8_t trust;		      /* in its reports, 0 to TRUST_FULL */
+	uint16_t slots;		      /* from the last report */
+	uint16_t in_flight;	      /* from the last report */
+	uint16_t queued;	      /* from the last report */
 	uint16_t failures;	      /* consecutive */
-	uint32_t sessions;	      /* the newest report */
-	uint32_t expected_wait_ms;    /* the newest report */
-	uint32_t pending;	      /* own openings not answered yet */
-	uint64_t report_ms;	      /* when the newest report came; 0 none */
-	uint64_t first_unanswered_ms; /* oldest unanswered send; 0 none */
-	uint64_t failed_ms;	      /* the newest failure; 0 none */
+	uint32_t sessions;	      /* from the last report */
+	uint32_t expected_wait_ms;    /* from the last report */
+	uint32_t pending;	      /* own new flows without an answer yet */
+	uint64_t report_ms;	      /* time of the last report; 0: none */
+	uint64_t first_unanswered_ms; /* oldest unanswered send; 0: none */
+	uint64_t failed_ms;	      /* time of the last failure; 0: none */
 } dy_pick_target_t;
 
-/* The load that an agent puts into an answer. */
+/* The load that an agent reports in an answer. */
 typedef struct dy_pick_report {
 	uint16_t slots;
 	uint16_t in_flight;
@@ -77,99 +78,101 @@
 	uint32_t expected_wait_ms;
 } dy_pick_report_t;
 
-/* What to spare first; set by a service's document. */
+/* What to avoid first; set by the document. */
 typedef enum dy_pick_priority {
-	DY_PICK_AVOID_BROKEN_FLOWS, /* Ciel Noir: a broken stream loses a night
-				     */
-	DY_PICK_AVOID_IMBALANCE /* Lakeshore: a full target lags while typing */
+	/* As for Ciel Noir: a broken stream loses a night's data. */
+	DY_PICK_AVOID_BROKEN_FLOWS,
+	/* As for Lakeshore: a full target lags while its users type. */
+	DY_PICK_AVOID_IMBALANCE
 } dy_pick_priority_t;
 
 typedef struct dy_pick_config {
 	dy_pick_priority_t priority;
 
-	/* Balancers that share the flows, this one too: at least 1. */
+	/* Number of balancers that share the flows, at least 1 (this one). */
 	uint32_t balancers;
 
 	/* Index of this balancer's own failure domain. */
 	uint16_t domain;
 
 	/*
-	 * The difference in load, in thousandths of a full target, up to
-	 * which a target in the own domain is taken instead.
+	 * Largest difference in load, in thousandths of a full target, at
+	 * which a target in the own domain is preferred.
 	 */
 	uint32_t local_bias_permille;
 
 	/*
-	 * A target that joined gets its full part only after this time, which
-	 * is longer where broken flows weigh more: young targets fail more.
+	 * Time until a new target gets its full share of flows. It is longer
+	 * if broken flows are to be avoided, as young targets fail more often.
 	 */
 	uint32_t slow_start_ms;
 
-	/* An unanswered send this old, with no answer since, is a stall. */
+	/* A target is stalled if a send is unanswered for this time. */
 	uint32_t stall_ms;
 
 	/* Consecutive failures that eject a target. */
 	uint32_t eject_failures;
 
 	/*
-	 * An ejected target is tried again this long after its newest
-	 * failure, one opening at a time.
+	 * Time after the last failure until an ejected target is probed, with
+	 * one new flow at a time.
 	 */
 	uint32_t eject_ms;
 } dy_pick_config_t;
 
-/* Set *config to the defaults for `weigh`. */
-void dy_pick_config_init(dy_pick_config_t *config, dy_pick_priority_t weigh);
+/* Initialize *config with the defaults for a priority. */
+void dy_pick_config_init(dy_pick_config_t *config, dy_pick_priority_t priority);
 
-/* Set *target to a target that joined at cold_since_ms, of which no report
- * came yet. slots are those that its registration states. */
+/*
+ * Initialize *target as one that joined at cold_since_ms and has not reported
+ * yet. slots and session_cap come from its registration.
+ */
 void dy_pick_target_init(dy_pick_target_t *target, uint16_t domain,
 			 uint16_t slots, uint32_t session_cap,
 			 uint64_t cold_since_ms);
 
 /*
- * Choose a target for a new flow among targets[0..n). Returns its index, or
- * -1 if none may be picked (all drain, or all connections are taken): refuse
- * the opening as not run. Does not count the choice: call
- * dy_pick_note_opening().
+ * Choose a target for a new flow among n targets. Returns its index, or -1 if
+ * all targets are draining or have no free connection: the caller then refuses
+ * the flow as not run. Does not count the flow; call dy_pick_note_opening().
  */
 int dy_pick(const dy_pick_config_t *config, const dy_pick_target_t *targets,
 	    size_t n, GRand *rand, uint64_t now_ms);
 
-/* Note that a flow's opening went to the target. */
+/* Record that a new flow was sent to the target. */
 void dy_pick_note_opening(dy_pick_target_t *target, uint64_t now_ms);
 
 /*
- * Note that any other call went to the target, so that a stall is seen
- * between openings as well.
+ * Record that a call of an open flow was sent to the target, so that a stall
+ * is detected without new flows as well.
  */
 void dy_pick_note_call(dy_pick_target_t *target, uint64_t now_ms);
 
 /*
- * Note an answer from the target's agent, with the load it reports (NULL if
- * it carries none). opened is 1 for the answer to an opening.
+ * Record an answer of the target's agent and the load that it reports; report
+ * is NULL if it carries none. opened is 1 if it answers a new flow.
  */
 void dy_pick_note_answer(dy_pick_target_t *target,
 			 const dy_pick_report_t *report, int opened,
 			 uint64_t now_ms);
 
 /*
- * Note that the agent refused an opening or a call because it is full or
- * late, after dy_pick_note_answer() for the same answer. If its report showed
- * free slots and connections, that report is trusted less. A refusal for any
- * other reason (the crowd limit, a drain, a missing token) is not noted: it
- * says nothing against the report.
+ * Record that the agent refused a new flow or a call because it is full or
+ * late; call it after dy_pick_note_answer() for the same answer. Reduces the
+ * trust in the target's reports if this report showed free slots and
+ * connections. Do not call it for other refusals (rate limit of new sessions,
+ * draining, missing token), which do not contradict the report.
  */
 void dy_pick_note_refusal(dy_pick_target_t *target);
 
 /*
- * Note that an opening (opened 1) or another call (0) had no answer in time,
- * or could not be sent.
+ * Record that a new flow (opened 1) or another call (0) timed out or could not
+ * be sent.
  */
 void dy_pick_note_failure(dy_pick_target_t *target, int opened,
 			  uint64_t now_ms);
 
-/* Whether the target is ejected at now_ms. */
+/* Returns whether the target is ejected at now_ms. */
 int dy_pick_is_ejected(const dy_pick_config_t *config,
 		       const dy_pick_target_t *target, uint64_t now_ms);
 
--- a/src/version/pick.c
+++ b/src/version/pick.c
@@ -3,73 +3,77 @@
 #include <string.h>
 
 /*
- * The share of a service that may be ejected, in percent. More than half gone
- * at once looks like a fault of this balancer's own link.
+ * Largest percentage of a sample that may be ejected. If more than half fail
+ * at once, the fault is probably in this balancer's own link.
  */
-#define EJECT_MOST_PERCENT 50
+#define EJECTED_MAX_PERCENT 50
 
-/* A refusal against the report takes a quarter of the trust, an answer that
- * fits it gives back 1/32 of what is missing. */
+/*
+ * A refusal that contradicts the report removes 1/4 of the trust; an answer
+ * restores 1/32 of what is missing.
+ */
 #define TRUST_LOSS_SHIFT 2
 #define TRUST_GAIN_SHIFT 5
 
-/* Loads are kept in thousandths of a full target. */
-#define FULL 1000
-#define HOPELESS (1U << 30)
+/* Loads are in thousandths of a full target. */
+#define LOAD_FULL 1000
+#define LOAD_UNUSABLE (1U << 30)
 
 /*
- * Calls under way count a quarter of connections: they come and go within
- * ms, a flow stays for hours.
+ * Calls in flight weigh a quarter of connections: calls last milliseconds,
+ * flows last hours.
  */
-#define WORK_PART 4
+#define CALLS_DIVISOR 4
 
 /*
  * A VM fails most often when it is young (the bathtub curve of "SciSpot:
- * Scientific Computing On Transient Cloud Servers", section 3), so flows that
- * last for hours go to those that have proved themselves, in ms. The price is
- * imbalance while a target warms up.
+ * Scientific Computing On Transient Cloud Servers", section 3), so long flows
+ * are better placed on older targets. The cost is imbalance while a target
+ * warms up, so the slow start is short if imbalance is to be avoided.
  */
-#define SLOW_START_SAFE_MS 30000
-#define SLOW_START_EVEN_MS 3000
+#define SLOW_START_LONG_MS 30000
+#define SLOW_START_SHORT_MS 3000
 
 /*
- * Only between equals. The fabric sprays a flow's packets over all balancers,
- * so where the one that opened it stands makes no packet's way shorter.
+ * The own failure domain only breaks ties. The network spreads the packets of
+ * a flow over all balancers, so a target close to the one that opened the flow
+ * shortens no path.
  */
-#define LOCAL_PERMILLE 0
+#define LOCAL_BIAS_PERMILLE 0
 
 /*
- * A wait of a second, the least that callers wait at all, counts as much as
- * all connections taken. Without it a target that stalls while its agent
- * refuses looks like any busy one: all slots taken, nobody waits.
+ * Expected wait that weighs as much as a full target: 1 s, the shortest
+ * timeout of callers. Without it a stalled target whose agent refuses calls
+ * looks like any busy one: all slots used, empty queue.
  */
 #define FULL_WAIT_MS 1000
 
-/* The trouble that a report tells of halves for each second of its age. */
-#define FADE_MS 1000
+/* Half-life of the penalty from a report. */
+#define REPORT_HALF_LIFE_MS 1000
 
 /*
- * A target that was full is asked again when its report is this old, one
- * opening at a time. Its agent refuses it if it still is, at no harm.
+ * Age of the report after which a full target is tried again, with one new
+ * flow at a time. If it is still full, its agent refuses the flow, which does
+ * no harm.
  */
-#define ASK_AGAIN_MS 5000
+#define FULL_RETRY_MS 5000
 
-/* What one look over the targets finds. */
+/* Indices of the sampled targets. */
 typedef struct sample {
 	int index[DY_PICK_SAMPLE];
 	uint32_t n;
 	uint32_t ejected;
 } sample_t;
 
-void dy_pick_config_init(dy_pick_config_t *config, dy_pick_priority_t weigh)
+void dy_pick_config_init(dy_pick_config_t *config, dy_pick_priority_t priority)
 {
-	config->priority = weigh;
+	config->priority = priority;
 	config->balancers = 1;
 	config->domain = 0;
-	config->local_bias_permille = LOCAL_PERMILLE;
-	config->slow_start_ms = weigh == DY_PICK_AVOID_BROKEN_FLOWS
-					? SLOW_START_SAFE_MS
-					: SLOW_START_EVEN_MS;
+	config->local_bias_permille = LOCAL_BIAS_PERMILLE;
+	config->slow_start_ms = priority == DY_PICK_AVOID_BROKEN_FLOWS
+					? SLOW_START_LONG_MS
+					: SLOW_START_SHORT_MS;
 	config->stall_ms = 1000;
 	config->eject_failures = 3;
 	config->eject_ms = 2000;
@@ -96,7 +100,7 @@
 	return target->failures >= config->eject_failures;
 }
 
-/* An ejected target gets one opening at a time once eject_ms have passed. */
+/* An ejected target gets one new flow at a time after eject_ms. */
 static int may_probe(const dy_pick_config_t *config,
 		     const dy_pick_target_t *target, uint64_t now_ms)
 {
@@ -110,26 +114,26 @@
 	return now_ms > target->report_ms ? now_ms - target->report_ms : 0;
 }
 
-/* Whether a target that was full is worth an opening to ask again. */
-static int may_ask_again(const dy_pick_target_t *target, uint64_t now_ms)
+static int may_retry_full(const dy_pick_target_t *target, uint64_t now_ms)
 {
 	return target->sessions >= target->session_cap && !target->pending &&
-	       report_age_ms(target, now_ms) >= ASK_AGAIN_MS;
+	       report_age_ms(target, now_ms) >= FULL_RETRY_MS;
 }
 
 /*
- * Whether this balancer's share of the free connections is not used up. Each
- * may use only its part of what a report showed free, so that all balancers
- * together stay below the cap though none sees what the others send.
+ * Returns whether this balancer's share of the free connections is not used
+ * up. Each balancer uses only its share of the connections that a report
+ * showed free, so all of them together stay below the cap although none sees
+ * the flows of the others.
  */
-static int has_connection(const dy_pick_config_t *config,
-			  const dy_pick_target_t *target, GRand *rand,
-			  uint64_t now_ms)
+static int has_free_connection(const dy_pick_config_t *config,
+			       const dy_pick_target_t *target, GRand *rand,
+			       uint64_t now_ms)
 {
 	uint32_t free_sessions;
 
 	if (target->sessions >= target->session_cap)
-		return may_ask_again(target, now_ms);
+		return may_retry_full(target, now_ms);
 	free_sessions = target->session_cap - target->sessions;
 	if (free_sessions >= config->balancers)
 		return target->pending < free_sessions / config->balancers;
@@ -139,79 +143,81 @@
 }
 
 /*
- * What a report says against a target, beside its flows: calls under way, the
- * wait, and that it should not be trusted.
+ * Returns the load from a report other than connections: calls in flight,
+ * expected wait, and missing trust.
  */
-static uint64_t weigh_trouble(const dy_pick_target_t *target)
+static uint64_t report_penalty(const dy_pick_target_t *target)
 {
 	uint64_t work = (uint64_t)target->in_flight + target->queued;
-	uint64_t distrust = DY_PICK_TRUST_FULL - target->trust;
+	uint64_t trust_deficit = DY_PICK_TRUST_FULL - target->trust;
 
-	return work * FULL / target->slots / WORK_PART +
-	       (uint64_t)target->expected_wait_ms * FULL / FULL_WAIT_MS +
-	       distrust * FULL / DY_PICK_TRUST_FULL;
+	return work * LOAD_FULL / target->slots / CALLS_DIVISOR +
+	       (uint64_t)target->expected_wait_ms * LOAD_FULL / FULL_WAIT_MS +
+	       trust_deficit * LOAD_FULL / DY_PICK_TRUST_FULL;
 }
 
 /*
- * The load in thousandths: lower is better. What a target reports against the
- * evidence of its refusals is not scaled but added to: one that claims no
- * load at all would stay at zero.
+ * Returns the load in thousandths; lower is better. Missing trust is added to
+ * the reported load instead of scaling it, since a target that reports no load
+ * at all would stay at zero.
  *
- * Trouble fades with the age of its report. A target that is shunned sends no
- * answers to this balancer and so no better report: it would be shunned for
- * good, long after it is well again.
+ * The penalty decays with the age of the report. A target that is avoided
+ * sends no answers to this balancer, and so no better report, and would be
+ * avoided long after it has recovered.
  */
-static uint32_t weigh_load(const dy_pick_config_t *config,
-			   const dy_pick_target_t *target, uint64_t now_ms)
+static uint32_t compute_load(const dy_pick_config_t *config,
+			     const dy_pick_target_t *target, uint64_t now_ms)
 {
 	uint64_t pending = (uint64_t)target->pending * config->balancers;
 	uint64_t sessions = target->sessions + pending;
-	uint64_t halvings = report_age_ms(target, now_ms) / FADE_MS;
+	uint64_t half_lives =
+		report_age_ms(target, now_ms) / REPORT_HALF_LIFE_MS;
 	uint64_t load;
 
 	if (!target->slots || !target->session_cap)
-		return HOPELESS;
-	if (may_ask_again(target, now_ms))
+		return LOAD_UNUSABLE;
+	if (may_retry_full(target, now_ms))
 		return 0;
-	load = sessions * FULL / target->session_cap;
-	load += weigh_trouble(target) >> MIN(halvings, 63);
-	return (uint32_t)MIN(load, HOPELESS);
+	load = sessions * LOAD_FULL / target->session_cap;
+	load += report_penalty(target) >> MIN(half_lives, 63);
+	return (uint32_t)MIN(load, LOAD_UNUSABLE);
 }
 
-/* All targets where they are few, else as many taken at random. */
-static void take_sample(const dy_pick_config_t *config,
+/* Samples all targets if they are few, else DY_PICK_SAMPLE at random. */
+static void draw_sample(const dy_pick_config_t *config,
 			const dy_pick_target_t *targets, size_t n, GRand *rand,
 			uint64_t now_ms, sample_t *sample)
 {
-	uint32_t most = (uint32_t)MIN(n, DY_PICK_SAMPLE);
+	uint32_t size = (uint32_t)MIN(n, DY_PICK_SAMPLE);
 	uint32_t i;
-	int at;
+	int pos;
 
 	sample->n = 0;
 	sample->ejected = 0;
-	for (i = 0; i < most; i++) {
-		at = (int)i;
+	for (i = 0; i < size; i++) {
+		pos = (int)i;
 		if (n > DY_PICK_SAMPLE)
-			at = g_rand_int_range(rand, 0, (gint32)n);
-		if (targets[at].draining)
+			pos = g_rand_int_range(rand, 0, (gint32)n);
+		if (targets[pos].draining)
 			continue;
-		sample->index[sample->n++] = at;
+		sample->index[sample->n++] = pos;
 		sample->ejected +=
-			dy_pick_is_ejected(config, &targets[at], now_ms);
+			dy_pick_is_ejected(config, &targets[pos], now_ms);
 	}
 }
 
-static void keep_eligible(const dy_pick_config_t *config,
-			  const dy_pick_target_t *targets, GRand *rand,
-			  uint64_t now_ms, sample_t *sample)
+static void filter_eligible(const dy_pick_config_t *config,
+			    const dy_pick_target_t *targets, GRand *rand,
+			    uint64_t now_ms, sample_t *sample)
 {
-	int may_eject = sample->ejected * 100 <= sample->n * EJECT_MOST_PERCENT;
+	int may_eject =
+		sample->ejected * 100 <= sample->n * EJECTED_MAX_PERCENT;
 	const dy_pick_target_t *target;
 	uint32_t i, kept = 0;
 
 	for (i = 0; i < sample->n; i++) {
 		target = &targets[sample->index[i]];
-		if (!has_connection(config, target, rand, now_ms))
+		if (!has_free_connection(config, target, rand, now_ms))
 			continue;
 		if (may_eject && dy_pick_is_ejected(config, target, now_ms) &&
 		    !may_probe(config, target, now_ms))
@@ -221,43 +227,47 @@
 	sample->n = kept;
 }
 
-/* How warm a target is, in thousandths; a tenth at the least. */
-static uint32_t warmth(const dy_pick_config_t *config,
-		       const dy_pick_target_t *target, uint64_t now_ms)
+/* Returns the progress of the slow start in thousandths, at least 100. */
+static uint32_t slow_start_permille(const dy_pick_config_t *config,
+				    const dy_pick_target_t *target,
+				    uint64_t now_ms)
 {
 	uint64_t age = now_ms > target->cold_since_ms
 			       ? now_ms - target->cold_since_ms
 			       : 0;
 
 	if (age >= config->slow_start_ms)
-		return FULL;
-	return MAX((uint32_t)(age * FULL / config->slow_start_ms), FULL / 10);
+		return LOAD_FULL;
+	return MAX((uint32_t)(age * LOAD_FULL / config->slow_start_ms),
+		   LOAD_FULL / 10);
 }
 
 /*
- * The better of two: the less loaded, or the local one if they are close. A
- * cold one gives way to one that is warmer, ever more seldom as it warms up;
- * where all are as cold, as after a common start, none gives way, else each
- * flow would go to the more loaded of the two.
+ * Returns the better of two targets: the less loaded one, or the local one if
+ * their loads are close. In slow start it loses against a warmer target, with
+ * a probability that falls as it warms up. If both are equally cold, as after
+ * a common start, it does not, or each flow would go to the more loaded one.
  */
-static int better_of(const dy_pick_config_t *config,
-		     const dy_pick_target_t *targets, int a, int b, GRand *rand,
-		     uint64_t now_ms)
+static int choose_better(const dy_pick_config_t *config,
+			 const dy_pick_target_t *targets, int a, int b,
+			 GRand *rand, uint64_t now_ms)
 {
-	uint32_t load_a = weigh_load(config, &targets[a], now_ms);
-	uint32_t load_b = weigh_load(config, &targets[b], now_ms);
-	uint32_t apart = load_a > load_b ? load_a - load_b : load_b - load_a;
+	uint32_t load_a = compute_load(config, &targets[a], now_ms);
+	uint32_t load_b = compute_load(config, &targets[b], now_ms);
+	uint32_t difference =
+		load_a > load_b ? load_a - load_b : load_b - load_a;
 	int local_a = targets[a].domain == config->domain;
 	int local_b = targets[b].domain == config->domain;
 	int best = load_a <= load_b ? a : b;
-	uint32_t warm, other_warm;
+	uint32_t ramp, other_ramp;
 
-	if (apart <= config->local_bias_permille && local_a != local_b)
+	if (difference <= config->local_bias_permille && local_a != local_b)
 		best = local_a ? a : b;
-	warm = warmth(config, &targets[best], now_ms);
-	other_warm = warmth(config, &targets[best == a ? b : a], now_ms);
-	if (warm < other_warm &&
-	    g_rand_int_range(rand, 0, (gint32)other_warm) >= (gint32)warm)
+	ramp = slow_start_permille(config, &targets[best], now_ms);
+	other_ramp = slow_start_permille(config, &targets[best == a ? b : a],
+					 now_ms);
+	if (ramp < other_ramp &&
+	    g_rand_int_range(rand, 0, (gint32)other_ramp) >= (gint32)ramp)
 		best = best == a ? b : a;
 	return best;
 }
@@ -268,8 +278,8 @@
 	sample_t sample;
 	int a, b;
 
-	take_sample(config, targets, n, rand, now_ms, &sample);
-	keep_eligible(config, targets, rand, now_ms, &sample);
+	draw_sample(config, targets, n, rand, now_ms, &sample);
+	filter_eligible(config, targets, rand, now_ms, &sample);
 	if (!sample.n)
 		return -1;
 	if (sample.n == 1)
@@ -278,8 +288,8 @@
 	b = g_rand_int_range(rand, 0, (gint32)sample.n - 1);
 	if (b >= a)
 		b++;
-	return better_of(config, targets, sample.index[a], sample.index[b],
-			 rand, now_ms);
+	return choose_better(config, targets, sample.index[a], sample.index[b],
+			     rand, now_ms);
 }
 
 void dy_pick_note_call(dy_pick_target_t *target, uint64_t now_ms)
--- a/src/version/route_table.c
+++ b/src/version/route_table.c
@@ -6,14 +6,14 @@
 	dy_document_t *document;
 	route_service_t *services; /* in the document's order */
 	unsigned service_count;
-	GHashTable *by_service; /* id: route_service_t */
-	GHashTable *by_targets; /* announced name: GPtrArray of the same */
-	GHashTable *members;	/* incarnation: route_member_t, owned */
-	GHashTable *current;	/* id: newest route_member_t */
-	GHashTable *balancers;	/* ids of those that serve */
-	GPtrArray *domains;	/* names; the index is the domain's */
-	GHashTable *evacuated;	/* names of domains, a set */
-	uint64_t expired_ms;	/* when members were last looked through */
+	GHashTable *by_service;	 /* id: route_service_t */
+	GHashTable *by_targets;	 /* announced name: GPtrArray of them */
+	GHashTable *members;	 /* incarnation: route_member_t, owned */
+	GHashTable *current;	 /* id: newest route_member_t */
+	GHashTable *balancers;	 /* ids of the serving ones, a set */
+	GPtrArray *domains;	 /* names, by domain index */
+	GHashTable *evacuated;	 /* names of domains, a set */
+	uint64_t last_expiry_ms; /* last run of route_table_expire() */
 };
 
 static void destroy_member(gpointer data)
@@ -98,9 +98,9 @@
 dy_pick_target_t *route_service_find(route_service_t *service,
 				     const route_member_t *member)
 {
-	int at = find_position(service, member);
+	int index = find_position(service, member);
 
-	return at < 0 ? NULL : &service->picks[at];
+	return index < 0 ? NULL : &service->picks[index];
 }
 
 static void add_target(route_service_t *service, route_member_t *member,
@@ -119,14 +119,14 @@
 	service->count++;
 }
 
-static void remove_target(route_service_t *service, unsigned at)
+static void remove_target(route_service_t *service, unsigned index)
 {
 	service->count--;
-	service->picks[at] = service->picks[service->count];
-	service->members[at] = service->members[service->count];
+	service->picks[index] = service->picks[service->count];
+	service->members[index] = service->members[service->count];
 }
 
-static int is_offered(const route_member_t *member)
+static int is_routable(const route_member_t *member)
 {
 	return member->state == DY_MEMBER_SERVING ||
 	       member->state == DY_MEMBER_DRAINING ||
@@ -142,7 +142,7 @@
 	info.service = member->service;
 	info.labels = member->labels;
 	info.domain = member->domain_name;
-	return is_offered(member) &&
+	return is_routable(member) &&
 	       dy_service_accepts(service->service, &info);
 }
 
@@ -152,7 +152,7 @@
 	return (uint16_t)MIN(member->slots, service->service->slots);
 }
 
-/* What registration and document say; the view of load stays. */
+/* Updates what registration and document set; the load is kept. */
 static void refresh_pick(dy_pick_target_t *pick, const route_service_t *service,
 			 const route_member_t *member)
 {
@@ -165,48 +165,48 @@
 		pick->slots = slots_of(service, member);
 }
 
-static void place_member(route_service_t *service, route_member_t *member,
-			 const dy_pick_target_t *known, uint64_t now_ms)
+static void update_target(route_service_t *service, route_member_t *member,
+			  const dy_pick_target_t *known, uint64_t now_ms)
 {
-	int at = find_position(service, member);
+	int index = find_position(service, member);
 	dy_pick_target_t fresh;
 
 	if (!is_eligible(service, member)) {
-		if (at >= 0)
-			remove_target(service, (unsigned)at);
+		if (index >= 0)
+			remove_target(service, (unsigned)index);
 		return;
 	}
-	if (at < 0) {
+	if (index < 0) {
 		dy_pick_target_init(
 			&fresh, member->domain,
 			(uint16_t)MIN(member->slots, service->service->slots),
 			member->connections, now_ms);
 		add_target(service, member, known ? known : &fresh);
-		at = (int)service->count - 1;
+		index = (int)service->count - 1;
 	}
-	refresh_pick(&service->picks[at], service, member);
+	refresh_pick(&service->picks[index], service, member);
 }
 
-static GPtrArray *services_for(route_table_t *table, const char *announced)
+static GPtrArray *find_services(route_table_t *table, const char *announced)
 {
 	return g_hash_table_lookup(table->by_targets, announced);
 }
 
-static void place_everywhere(route_table_t *table, route_member_t *member,
-			     uint64_t now_ms)
+static void update_member(route_table_t *table, route_member_t *member,
+			  uint64_t now_ms)
 {
-	GPtrArray *services = services_for(table, member->service);
+	GPtrArray *services = find_services(table, member->service);
 	guint i;
 
 	for (i = 0; services && i < services->len; i++)
-		place_member(g_ptr_array_index(services, i), member, NULL,
-			     now_ms);
+		update_target(g_ptr_array_index(services, i), member, NULL,
+			      now_ms);
 }
 
 static void index_service(route_table_t *table, route_service_t *service)
 {
 	const char *targets = service->service->targets;
-	GPtrArray *same = services_for(table, targets);
+	GPtrArray *same = find_services(table, targets);
 
 	if (!same) {
 		same = g_ptr_array_new();
@@ -217,17 +217,18 @@
 			    service);
 }
 
-/* The old arrays of a service, so that its targets keep their view. */
-static const dy_pick_target_t *known_pick(GHashTable *old,
-					  const dy_service_t *service,
-					  const route_member_t *member)
+/* Returns a target of the old table, which keeps its load, or NULL. */
+static const dy_pick_target_t *previous_pick(GHashTable *old,
+					     const dy_service_t *service,
+					     const route_member_t *member)
 {
 	route_service_t *before = g_hash_table_lookup(old, &service->id);
 
 	return before ? route_service_find(before, member) : NULL;
 }
 
-static void place_all(route_table_t *table, GHashTable *old, uint64_t now_ms)
+static void rebuild_targets(route_table_t *table, GHashTable *old,
+			    uint64_t now_ms)
 {
 	GHashTableIter iter;
 	gpointer value;
@@ -239,12 +240,13 @@
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		route_member_t *member = value;
 
-		services = services_for(table, member->service);
+		services = find_services(table, member->service);
 		for (i = 0; services && i < services->len; i++) {
 			service = g_ptr_array_index(services, i);
-			place_member(service, member,
-				     known_pick(old, service->service, member),
-				     now_ms);
+			update_target(
+				service, member,
+				previous_pick(old, service->service, member),
+				now_ms);
 		}
 	}
 }
@@ -267,7 +269,7 @@
 		table->services[i].service = dy_document_service(document, i);
 		index_service(table, &table->services[i]);
 	}
-	place_all(table, old, now_ms);
+	rebuild_targets(table, old, now_ms);
 	g_hash_table_destroy(old);
 	clear_services(old_services, old_count);
 	dy_document_destroy(old_document);
@@ -278,7 +280,7 @@
 	return table->document;
 }
 
-static void count_balancer(route_table_t *table, const dy_member_t *from)
+static void update_balancers(route_table_t *table, const dy_member_t *from)
 {
 	gint64 *key;
 
@@ -291,13 +293,13 @@
 	g_hash_table_add(table->balancers, key);
 }
 
-static void set_text(char **held, const char *text)
+static void set_interned(char **string, const char *text)
 {
-	if (*held && !strcmp(*held, text))
+	if (*string && !strcmp(*string, text))
 		return;
-	if (*held)
-		g_ref_string_release(*held);
-	*held = g_ref_string_new_intern(text);
+	if (*string)
+		g_ref_string_release(*string);
+	*string = g_ref_string_new_intern(text);
 }
 
 static void fill_member(route_table_t *table, route_member_t *member,
@@ -309,9 +311,9 @@
 	member->domain = route_table_domain_index(table, from->info.domain);
 	member->slots = from->info.slots;
 	member->connections = from->info.connections;
-	set_text(&member->service, from->info.service);
-	set_text(&member->labels, from->info.labels);
-	set_text(&member->domain_name, from->info.domain);
+	set_interned(&member->service, from->info.service);
+	set_interned(&member->labels, from->info.labels);
+	set_interned(&member->domain_name, from->info.domain);
 	member->evacuated =
 		g_hash_table_contains(table->evacuated, from->info.domain);
 	g_free(member->successors);
@@ -321,17 +323,17 @@
 			  member->successor_count * sizeof(uint64_t));
 }
 
-static int is_over(const route_member_t *member)
+static int is_ended(const route_member_t *member)
 {
 	return member->state == DY_MEMBER_LEFT ||
 	       member->state == DY_MEMBER_DEAD;
 }
 
-static void make_current(route_table_t *table, route_member_t *member)
+static void update_current(route_table_t *table, route_member_t *member)
 {
-	route_member_t *held = route_table_find_current(table, member->id);
+	route_member_t *newest = route_table_find_current(table, member->id);
 
-	if (!held || held->incarnation < member->incarnation)
+	if (!newest || newest->incarnation < member->incarnation)
 		g_hash_table_replace(table->current, &member->id, member);
 }
 
@@ -341,7 +343,7 @@
 	route_member_t *member;
 
 	if (from->info.kind == DY_MEMBER_BALANCER) {
-		count_balancer(table, from);
+		update_balancers(table, from);
 		return;
 	}
 	member = route_table_find_incarnation(table, from->incarnation);
@@ -352,12 +354,12 @@
 				    member);
 	}
 	fill_member(table, member, from);
-	if (!is_over(member))
+	if (!is_ended(member))
 		member->ended_ms = 0;
 	else if (!member->ended_ms)
 		member->ended_ms = now_ms;
-	make_current(table, member);
-	place_everywhere(table, member, now_ms);
+	update_current(table, member);
+	update_member(table, member, now_ms);
 }
 
 void route_table_set_domain(route_table_t *table, const char *name,
@@ -377,7 +379,7 @@
 		if (strcmp(member->domain_name, name) != 0)
 			continue;
 		member->evacuated = (uint8_t) !!evacuated;
-		place_everywhere(table, member, now_ms);
+		update_member(table, member, now_ms);
 	}
 }
 
@@ -405,10 +407,10 @@
 	return count ? count : 1;
 }
 
-/* Members are looked through this often, in ms: 110,000 take some 10 ms. */
-#define EXPIRE_PERIOD_MS 60000
+/* Scanning 110,000 members takes some 10 ms. */
+#define EXPIRE_INTERVAL_MS 60000
 
-static int is_forgotten(const route_member_t *member, uint64_t now_ms)
+static int is_expired(const route_member_t *member, uint64_t now_ms)
 {
 	return member->ended_ms &&
 	       now_ms - member->ended_ms >= ROUTE_ENDED_TTL_MS;
@@ -420,13 +422,13 @@
 	GHashTableIter iter;
 	gpointer value;
 
-	if (now_ms - table->expired_ms < EXPIRE_PERIOD_MS)
+	if (now_ms - table->last_expiry_ms < EXPIRE_INTERVAL_MS)
 		return;
-	table->expired_ms = now_ms;
+	table->last_expiry_ms = now_ms;
 	g_hash_table_iter_init(&iter, table->members);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		member = value;
-		if (!is_forgotten(member, now_ms))
+		if (!is_expired(member, now_ms))
 			continue;
 		if (route_table_find_current(table, member->id) == member)
 			g_hash_table_remove(table->current, &member->id);
--- a/src/version/route_table.h
+++ b/src/version/route_table.h
@@ -2,8 +2,8 @@
 #define DAMASKYARD_ROUTE_TABLE_H
 
 /*
- * A balancer's table: the services of one document, and behind each the
- * targets that may serve it, with this balancer's view of their load.
+ * Routing table of a balancer: the services of one document and, for each, the
+ * targets that may serve it, with their load as this balancer sees it.
  */
 
 #include <glib.h>
@@ -12,24 +12,24 @@
 #include "damaskyard/pick.h"
 #include "dy_control.h"
 
-/* Successors of a chain of planned stops that a packet is sent along. */
+/* Maximum hops from an agent that left along its chain of successors. */
 #define ROUTE_SUCCESSOR_HOPS_MAX 8
 
-/* Longer than the longest idle time that a document is expected to allow. */
+/* Longer than any session idle timeout that a document should set. */
 #define ROUTE_ENDED_TTL_MS (24 * 3600 * UINT64_C(1000))
 
 typedef struct route_member {
-	uint64_t ended_ms;    /* since when it is LEFT or DEAD; 0: it is not */
-	uint64_t incarnation; /* the key: one for each start of an agent */
+	uint64_t ended_ms;    /* when it became LEFT or DEAD; 0: neither */
+	uint64_t incarnation; /* key; one per start of an agent */
 	uint64_t id;
 	dy_address_t address;
 	uint8_t state; /* a dy_member_state_t */
 	uint8_t successor_count;
-	uint8_t evacuated; /* its domain is */
+	uint8_t evacuated; /* its domain is evacuated */
 	uint16_t domain;
 	uint32_t slots;
 	uint32_t connections;
-	char *service; /* what its target announced; interned */
+	char *service; /* announced by its target; interned */
 	char *labels;
 	char *domain_name;
 	uint64_t *successors;
@@ -37,7 +37,7 @@
 
 typedef struct route_service {
 	const dy_service_t *service;
-	dy_pick_target_t *picks; /* both arrays in step */
+	dy_pick_target_t *picks; /* parallel to members */
 	route_member_t **members;
 	unsigned count;
 	unsigned capacity;
@@ -45,42 +45,54 @@
 
 typedef struct route_table route_table_t;
 
+/* Create an empty table. */
 route_table_t *route_table_create(void);
+
+/* Free the table and its document. NULL is allowed. */
 void route_table_destroy(route_table_t *table);
 
-/* Takes the document over; targets keep their view of load. */
+/*
+ * Replace the document, whose ownership passes to the table, and free the old
+ * one. Targets that remain behind a service keep their load.
+ */
 void route_table_set_document(route_table_t *table, dy_document_t *document,
 			      uint64_t now_ms);
+
+/* Returns the document, which the table owns, or NULL if there is none. */
 const dy_document_t *route_table_document(const route_table_t *table);
 
+/* Add or update a member by its record; a balancer is only counted. */
 void route_table_set_member(route_table_t *table, const dy_member_t *member,
 			    uint64_t now_ms);
 
 /*
- * Forget members that have been over for ROUTE_ENDED_TTL_MS: control does, and
- * no session of them is left by then.
+ * Remove members that ended ROUTE_ENDED_TTL_MS ago. Control drops their records
+ * too, and their sessions have expired by then.
  */
 void route_table_expire(route_table_t *table, uint64_t now_ms);
 
-/* Each returns NULL if there is none. */
+/*
+ * Find a service by id, an agent by incarnation, or the newest incarnation of
+ * an agent by member id. Each returns NULL if there is none.
+ */
 route_service_t *route_table_find_service(route_table_t *table,
 					  uint64_t service);
 route_member_t *route_table_find_incarnation(route_table_t *table,
 					     uint64_t incarnation);
 route_member_t *route_table_find_current(route_table_t *table, uint64_t id);
 
-/* This balancer's view of a member behind a service, or NULL. */
+/* Returns the load of a member as a target of a service, or NULL. */
 dy_pick_target_t *route_service_find(route_service_t *service,
 				     const route_member_t *member);
 
-/* Whether targets of a failure domain are to take no new sessions. */
+/* Set whether a failure domain is evacuated and gets no new sessions. */
 void route_table_set_domain(route_table_t *table, const char *name,
 			    int evacuated, uint64_t now_ms);
 
-/* Index of a failure domain by its name; the same name, the same index. */
+/* Returns the index of a failure domain, which is added if it is new. */
 uint16_t route_table_domain_index(route_table_t *table, const char *name);
 
-/* Balancers that serve, this one included. */
+/* Returns the number of serving balancers, at least 1 (this one). */
 unsigned route_table_balancer_count(const route_table_t *table);
 
 #endif
--- a/tests/test_pick.c
+++ b/tests/test_pick.c
@@ -8,7 +8,7 @@
 #define TARGETS 7
 #define SLOTS 7
 #define CAP 2000
-#define OLD_MS 3600000
+#define WARM_MS 3600000
 
 typedef struct view {
 	dy_pick_config_t config;
@@ -18,16 +18,16 @@
 	unsigned picked[TARGETS];
 } view_t;
 
-static void set_up(view_t *view, dy_pick_priority_t weigh, uint32_t seed)
+static void set_up(view_t *view, dy_pick_priority_t priority, uint32_t seed)
 {
 	int i;
 
 	memset(view, 0, sizeof(*view));
-	dy_pick_config_init(&view->config, weigh);
+	dy_pick_config_init(&view->config, priority);
 	for (i = 0; i < TARGETS; i++)
 		dy_pick_target_init(&view->targets[i], i % 3, SLOTS, CAP, 0);
 	view->rand = g_rand_new_with_seed(seed);
-	view->now_ms = OLD_MS;
+	view->now_ms = WARM_MS;
 }
 
 static void report(view_t *view, int i, uint16_t in_flight, uint16_t queued,
@@ -38,7 +38,7 @@
 	dy_pick_note_answer(&view->targets[i], &load, 0, view->now_ms);
 }
 
-/* Pick n times; what is picked is answered if `answered`, else stays open. */
+/* Pick n times; each pick is answered at once if answered is set. */
 static void pick(view_t *view, int n, int answered)
 {
 	int i;
@@ -58,11 +58,11 @@
 }
 
 /*
- * At dusk eight balancers open 4,000 flows from the same reports, by which
- * one target is a little emptier. Each alone would send all its flows there
- * and the target would get 4,000 at once.
+ * Eight balancers open 4,000 flows from the same reports, in which one target
+ * is slightly emptier. If each sent all its flows there, that target would get
+ * 4,000 at once.
  */
-START_TEST(many_balancers_make_no_herd)
+START_TEST(many_balancers_share_load_evenly)
 {
 	unsigned sum[TARGETS] = { 0 };
 	view_t view;
@@ -86,10 +86,10 @@
 END_TEST
 
 /*
- * One target has all slots taken and twenty calls waiting, the others are
- * half busy. New flows would make its callers wait still longer.
+ * One target has all slots used and 20 queued calls; the others are half busy.
+ * New flows would make its callers wait longer still.
  */
-START_TEST(busy_target_gets_few)
+START_TEST(busy_target_gets_few_flows)
 {
 	view_t view;
 	int i;
@@ -106,11 +106,11 @@
 END_TEST
 
 /*
- * A target stalls with all slots taken, and its agent refuses at once, so
- * nobody waits there. By slots and queue it looks like any busy target; its
- * agent expects a wait of two seconds.
+ * A target is stalled with all slots used, and its agent refuses calls at
+ * once, so its queue is empty. By slots and queue it looks like any busy
+ * target, but its agent reports an expected wait of two seconds.
  */
-START_TEST(stalled_target_gets_none)
+START_TEST(stalled_target_gets_no_flow)
 {
 	dy_pick_report_t stalled = { SLOTS, SLOTS, 0, 900, 2000 };
 	view_t view;
@@ -127,11 +127,11 @@
 END_TEST
 
 /*
- * The same target, and one that was full, are well again, but have no flow of
- * this balancer any more: no answer tells it so. They must not be shunned for
- * good: as the reports grow old, flows are opened there again.
+ * A stalled and a full target recover, but have no flow of this balancer left,
+ * so no answer reports the recovery. They must not be avoided forever: when
+ * the reports are old, flows are opened there again.
  */
-START_TEST(old_trouble_is_forgotten)
+START_TEST(penalty_decays_with_report_age)
 {
 	dy_pick_report_t stalled = { SLOTS, SLOTS, 9, 0, 30000 };
 	view_t view;
@@ -152,7 +152,7 @@
 }
 END_TEST
 
-START_TEST(draining_target_gets_none)
+START_TEST(draining_target_gets_no_flow)
 {
 	view_t view;
 	int i;
@@ -171,11 +171,11 @@
 END_TEST
 
 /*
- * Four balancers hold the same report: each target has eight connections
- * left. None sees what the others send; together they must not open more
- * than is left, or flows are refused at the target.
+ * Four balancers have the same report: each target has eight free connections.
+ * None sees the flows of the others. Together they must not open more than
+ * eight, or the target refuses flows.
  */
-START_TEST(stale_report_is_not_spent_twice)
+START_TEST(balancers_share_free_connections)
 {
 	unsigned sum[TARGETS] = { 0 };
 	view_t view;
@@ -199,7 +199,7 @@
 }
 END_TEST
 
-START_TEST(full_target_gets_none)
+START_TEST(full_target_gets_no_flow)
 {
 	view_t view;
 
@@ -213,11 +213,11 @@
 END_TEST
 
 /*
- * A target joins while the others have 1,000 flows each. It is the emptiest
- * by far and would get two flows of seven from the first moment, with cold
- * caches and not yet proved. Its part grows from little to that.
+ * A target joins while the others have 1,000 flows each. As the emptiest it
+ * would get two of seven flows at once, with cold caches and while young VMs
+ * fail most often. Its share must grow slowly.
  */
-START_TEST(cold_target_starts_slowly)
+START_TEST(cold_target_ramps_up)
 {
 	unsigned early, late;
 	view_t view;
@@ -240,10 +240,10 @@
 END_TEST
 
 /*
- * All targets start with the balancer. None is warmer than another, so no
- * flow may be turned away from the emptier to the fuller one.
+ * All targets start together with the balancer. They are equally cold, so slow
+ * start must not move flows from an emptier target to a fuller one.
  */
-START_TEST(all_cold_are_balanced)
+START_TEST(equally_cold_targets_are_balanced)
 {
 	view_t view;
 	int i, n;
@@ -263,11 +263,11 @@
 END_TEST
 
 /*
- * A failure domain goes: three of seven targets answer no more. Once that
- * shows, no flow is opened into the void, but one each to see whether they
- * are back; an answer brings them back.
+ * A failure domain fails: three of seven targets stop answering. After the
+ * stall is detected, they must get no flow but a single probe each; an answer
+ * makes a target eligible again.
  */
-START_TEST(failure_domain_is_ejected_and_comes_back)
+START_TEST(failed_domain_is_ejected_and_probed)
 {
 	view_t view;
 	int i;
@@ -290,10 +290,10 @@
 END_TEST
 
 /*
- * A balancer's own link breaks and five of seven targets look dead. If it
- * ejected them all, the two others would get each flow of the service.
+ * The balancer's own link fails and five of seven targets look dead. If it
+ * ejected them all, the other two would get every flow of the service.
  */
-START_TEST(most_of_a_service_is_never_ejected)
+START_TEST(never_ejects_most_of_service)
 {
 	view_t view;
 	int i, n;
@@ -310,11 +310,11 @@
 END_TEST
 
 /*
- * A target always reports free slots and no flow, while it refuses two calls
- * of three. By its reports it is the best of all; by what callers receive it
- * is the worst. When it refuses no more, it is trusted again.
+ * A target always reports free slots and no flows, but refuses two of three
+ * calls. By its reports it is the best target; for callers it is the worst.
+ * When it stops refusing, it must be trusted again.
  */
-START_TEST(false_report_is_discounted)
+START_TEST(refusals_reduce_trust_in_reports)
 {
 	view_t view;
 	int i, n;
@@ -337,8 +337,8 @@
 }
 END_TEST
 
-/* A refusal by a target that says it is full is no lie, in either way. */
-START_TEST(honest_refusal_costs_no_trust)
+/* A refusal agrees with a report of full slots or full connections. */
+START_TEST(refusal_by_full_target_keeps_trust)
 {
 	view_t view;
 
@@ -354,10 +354,10 @@
 END_TEST
 
 /*
- * One address has 5,000 targets, a tenth of them full and a tenth leaving. A
- * pick looks at a few only, and still never takes one of these.
+ * One address has 5,000 targets; a tenth are full and a tenth draining. A pick
+ * samples only a few targets and must still never choose one of these.
  */
-START_TEST(large_service_is_sampled)
+START_TEST(samples_large_service)
 {
 	dy_pick_target_t *targets = g_new0(dy_pick_target_t, 5000);
 	unsigned *picked = g_new0(unsigned, 5000);
@@ -370,10 +370,10 @@
 		dy_pick_target_init(&targets[i], 0, SLOTS, CAP, 0);
 		targets[i].draining = i % 10 == 1;
 		targets[i].sessions = i % 10 == 2 ? CAP : 500;
-		targets[i].report_ms = OLD_MS;
+		targets[i].report_ms = WARM_MS;
 	}
 	for (n = 0; n < 40000; n++) {
-		i = dy_pick(&config, targets, 5000, rand, OLD_MS);
+		i = dy_pick(&config, targets, 5000, rand, WARM_MS);
 		ck_assert_int_ge(i, 0);
 		ck_assert(i % 10 != 1 && i % 10 != 2);
 		reached += !picked[i]++;
@@ -385,8 +385,8 @@
 }
 END_TEST
 
-/* The own failure domain decides between equals, and only there. */
-START_TEST(own_domain_costs_no_balance)
+/* The own failure domain must only decide between equally loaded targets. */
+START_TEST(own_domain_only_breaks_ties)
 {
 	view_t view;
 	int i;
@@ -410,22 +410,21 @@
 	SRunner *runner;
 	int failures;
 
-	tcase_add_loop_test(tcase, many_balancers_make_no_herd, 0, 2);
-	tcase_add_loop_test(tcase, busy_target_gets_few, 0, 2);
-	tcase_add_loop_test(tcase, stalled_target_gets_none, 0, 2);
-	tcase_add_loop_test(tcase, old_trouble_is_forgotten, 0, 2);
-	tcase_add_loop_test(tcase, draining_target_gets_none, 0, 2);
-	tcase_add_loop_test(tcase, stale_report_is_not_spent_twice, 0, 2);
-	tcase_add_loop_test(tcase, full_target_gets_none, 0, 2);
-	tcase_add_loop_test(tcase, cold_target_starts_slowly, 0, 2);
-	tcase_add_loop_test(tcase, all_cold_are_balanced, 0, 2);
-	tcase_add_loop_test(tcase, failure_domain_is_ejected_and_comes_back, 0,
-			    2);
-	tcase_add_loop_test(tcase, most_of_a_service_is_never_ejected, 0, 2);
-	tcase_add_loop_test(tcase, false_report_is_discounted, 0, 2);
-	tcase_add_loop_test(tcase, honest_refusal_costs_no_trust, 0, 2);
-	tcase_add_loop_test(tcase, large_service_is_sampled, 0, 2);
-	tcase_add_loop_test(tcase, own_domain_costs_no_balance, 0, 2);
+	tcase_add_loop_test(tcase, many_balancers_share_load_evenly, 0, 2);
+	tcase_add_loop_test(tcase, busy_target_gets_few_flows, 0, 2);
+	tcase_add_loop_test(tcase, stalled_target_gets_no_flow, 0, 2);
+	tcase_add_loop_test(tcase, penalty_decays_with_report_age, 0, 2);
+	tcase_add_loop_test(tcase, draining_target_gets_no_flow, 0, 2);
+	tcase_add_loop_test(tcase, balancers_share_free_connections, 0, 2);
+	tcase_add_loop_test(tcase, full_target_gets_no_flow, 0, 2);
+	tcase_add_loop_test(tcase, cold_target_ramps_up, 0, 2);
+	tcase_add_loop_test(tcase, equally_cold_targets_are_balanced, 0, 2);
+	tcase_add_loop_test(tcase, failed_domain_is_ejected_and_probed, 0, 2);
+	tcase_add_loop_test(tcase, never_ejects_most_of_service, 0, 2);
+	tcase_add_loop_test(tcase, refusals_reduce_trust_in_reports, 0, 2);
+	tcase_add_loop_test(tcase, refusal_by_full_target_keeps_trust, 0, 2);
+	tcase_add_loop_test(tcase, samples_large_service, 0, 2);
+	tcase_add_loop_test(tcase, own_domain_only_breaks_ties, 0, 2);
 	suite_add_tcase(suite, tcase);
 	runner = srunner_create(suite);
 	srunner_run_all(runner, CK_NORMAL);
