--- a/src/version/registry.c
+++ b/src/version/registry.c
@@ -40,8 +40,9 @@
 	return names[event];
 }
 
-void registry_tell(const dy_registry_t *registry, dy_registry_event_t event,
-		   const char *environment, const char *name, uint64_t number)
+void registry_emit_event(const dy_registry_t *registry,
+			 dy_registry_event_t event, const char *environment,
+			 const char *name, uint64_t number)
 {
 	if (registry->callbacks.event)
 		registry->callbacks.event(registry->callbacks.context, event,
@@ -58,7 +59,7 @@
 
 static gboolean equal_request(gconstpointer a, gconstpointer b)
 {
-	return !memcmp(a, b, REQUEST_BYTES);
+	return !memcmp(a, b, REQUEST_ID_BYTES);
 }
 
 static void free_service(gpointer value)
@@ -80,7 +81,7 @@
 	for (i = 0; i < DY_ENVIRONMENTS; i++) {
 		environment = &registry->environments[i];
 		dy_list_init(&environment->members);
-		dy_list_init(&environment->gone);
+		dy_list_init(&environment->ended);
 		environment->services = g_hash_table_new_full(
 			g_str_hash, g_str_equal, NULL, free_service);
 	}
@@ -118,22 +119,24 @@
 		registry_add_page(registry, &command->dy_command_t_u.page);
 		return;
 	case DY_COMMAND_CHANGE:
-		registry_change(registry, &command->dy_command_t_u.change);
+		registry_apply_change(registry,
+				      &command->dy_command_t_u.change);
 		return;
 	case DY_COMMAND_JOIN:
-		registry_join(registry, &command->dy_command_t_u.join);
+		registry_apply_join(registry, &command->dy_command_t_u.join);
 		return;
 	case DY_COMMAND_UPDATE:
-		registry_update(registry, &command->dy_command_t_u.update);
+		registry_apply_update(registry,
+				      &command->dy_command_t_u.update);
 		return;
 	case DY_COMMAND_MARK:
-		registry_mark(registry, &command->dy_command_t_u.mark);
+		registry_apply_mark(registry, &command->dy_command_t_u.mark);
 		return;
 	case DY_COMMAND_KEY:
-		registry_step_key(registry, &command->dy_command_t_u.key);
+		registry_apply_key_step(registry, &command->dy_command_t_u.key);
 		return;
 	case DY_COMMAND_TRIED:
-		registry_try_content(
+		registry_mark_tried(
 			registry,
 			(uint8_t *)command->dy_command_t_u.tried.digest);
 		return;
@@ -141,9 +144,8 @@
 }
 
 /*
- * Guards against a command that is applied twice or out of order, which
- * would show as controls that differ: every command's index is above the
- * last one's, on every control alike.
+ * The index must increase: a command that is applied twice or out of order
+ * would make the states of the controls diverge.
  */
 void dy_registry_apply(dy_registry_t *registry, const void *data, uint32_t size,
 		       uint64_t index)
@@ -157,8 +159,8 @@
 	if (xdr_dy_command_t(&xdrs, &command) && xdr_getpos(&xdrs) == size)
 		apply_command(registry, &command);
 	else
-		registry_tell(registry, DY_EVENT_COMMAND_MALFORMED, "", "",
-			      index);
+		registry_emit_event(registry, DY_EVENT_COMMAND_MALFORMED, "",
+				    "", index);
 	xdr_free((xdrproc_t)xdr_dy_command_t, (char *)&command);
 	registry_check_keys(registry);
 }
--- a/src/version/registry_changes.c
+++ b/src/version/registry_changes.c
@@ -1,6 +1,6 @@
 /*
- * Operators' changes. Each is decided here, once, in the order of the log,
- * so that of two with the same number every control accepts the same one.
+ * Operators' changes. Each is decided when its log entry is applied, so that
+ * every control accepts the same one of two changes with the same number.
  */
 
 #include <string.h>
@@ -40,7 +40,7 @@
 {
 	answer_t *answer = g_new0(answer_t, 1);
 
-	memcpy(answer->request, request, REQUEST_BYTES);
+	memcpy(answer->request, request, REQUEST_ID_BYTES);
 	answer->result = *result;
 	answer->result.operator_name = g_strdup(result->operator_name);
 	answer->result.message = g_strdup(result->message);
@@ -61,7 +61,7 @@
 	result->message = (char *)message;
 }
 
-static void name_document(dy_change_result_t *result,
+static void fill_document(dy_change_result_t *result,
 			  const dy_registry_document_t *document)
 {
 	result->number = document->number;
@@ -70,8 +70,8 @@
 }
 
 /*
- * Guards against two operators who prepared a change of the same number: the
- * second would undo the first unseen. It is told who won.
+ * Refuses the second of two changes with the same number, which would silently
+ * undo the first. The answer names the operator and document that won.
  */
 static int is_conflict(const dy_registry_document_t *document,
 		       const dy_change_t *change, dy_change_result_t *result)
@@ -81,7 +81,7 @@
 	if (change->kind == DY_CHANGE_RAISE &&
 	    change->number > document->number)
 		return 0;
-	name_document(result, document);
+	fill_document(result, document);
 	if (change->number <= document->number)
 		refuse(result, DY_STATUS_CONFLICT,
 		       "another change has this number");
@@ -103,7 +103,7 @@
 
 	if (change->kind == DY_CHANGE_RAISE)
 		number = change->number;
-	dy_assert(content && content->checked && !content->fault);
+	dy_assert(content && content->validated && !content->error);
 	dy_assert(number > document->number);
 	dy_assert(registry->index > document->changed);
 	document->number = number;
@@ -112,10 +112,10 @@
 	memmove(document->digest, digest, DY_DIGEST_BYTES);
 	g_strlcpy(document->operator_name, change->operator_name,
 		  sizeof(document->operator_name));
-	name_document(result, document);
-	registry_tell(registry, DY_EVENT_DOCUMENT_ACCEPTED,
-		      dy_environment_name(environment), document->operator_name,
-		      number);
+	fill_document(result, document);
+	registry_emit_event(registry, DY_EVENT_DOCUMENT_ACCEPTED,
+			    dy_environment_name(environment),
+			    document->operator_name, number);
 	registry_trim_contents(registry);
 }
 
@@ -139,21 +139,21 @@
 	if (is_conflict(&registry->environments[environment].document, change,
 			result))
 		return;
-	if (!content || !content->checked) {
+	if (!content || !content->validated) {
 		refuse(result, DY_STATUS_NOT_FOUND,
 		       "the document's bytes did not arrive");
 		return;
 	}
-	if (content->fault) {
-		refuse(result, DY_STATUS_MALFORMED, content->fault);
+	if (content->error) {
+		refuse(result, DY_STATUS_MALFORMED, content->error);
 		return;
 	}
 	accept_document(registry, environment, change, digest, result);
 }
 
-static const char *cannot_promote(const dy_registry_t *registry,
-				  const dy_change_t *change,
-				  dy_change_result_t *result)
+static const char *check_promotion(const dy_registry_t *registry,
+				   const dy_change_t *change,
+				   dy_change_result_t *result)
 {
 	static const char any[DY_DIGEST_BYTES];
 	const dy_registry_document_t *trial =
@@ -171,18 +171,18 @@
 	if (memcmp(change->digest, any, DY_DIGEST_BYTES) &&
 	    memcmp(change->digest, trial->digest, DY_DIGEST_BYTES)) {
 		result->status = DY_STATUS_CONFLICT;
-		name_document(result, trial);
+		fill_document(result, trial);
 		return "trial has another document in force";
 	}
 	if (!dy_registry_is_tried(registry, trial->digest)) {
 		result->status = DY_STATUS_NOT_TRIED;
-		name_document(result, trial);
+		fill_document(result, trial);
 		return "not yet in force on every live member of trial";
 	}
 	return NULL;
 }
 
-/* Production takes exactly the bytes that are in force in trial. */
+/* Puts the document in force in trial into force in production. */
 static void promote(dy_registry_t *registry, const dy_change_t *change,
 		    dy_change_result_t *result)
 {
@@ -190,7 +190,7 @@
 		&registry->environments[DY_TRIAL].document;
 	const dy_registry_document_t *production =
 		&registry->environments[DY_PRODUCTION].document;
-	const char *reason = cannot_promote(registry, change, result);
+	const char *reason = check_promotion(registry, change, result);
 
 	if (reason) {
 		result->message = (char *)reason;
@@ -198,7 +198,7 @@
 	}
 	if (production->number &&
 	    !memcmp(production->digest, trial->digest, DY_DIGEST_BYTES)) {
-		name_document(result, production);
+		fill_document(result, production);
 		result->message = "it is in force already";
 		return;
 	}
@@ -237,9 +237,9 @@
 	if (!member)
 		return;
 	member->drain = 1;
-	registry_tell(registry, DY_EVENT_DRAIN_WISHED,
-		      dy_environment_name(member->environment), member->name,
-		      member->incarnation);
+	registry_emit_event(registry, DY_EVENT_DRAIN_WISHED,
+			    dy_environment_name(member->environment),
+			    member->name, member->incarnation);
 }
 
 static void remove_member(dy_registry_t *registry, const dy_change_t *change,
@@ -248,24 +248,27 @@
 	dy_registry_member_t *member = find_named(registry, change, result);
 
 	if (member)
-		registry_kill(registry, member);
+		registry_declare_dead(registry, member);
 }
 
 /*
- * A rotation that is asked for while one is under way is that one: its key
- * signs nothing yet, so it serves the second wish as well.
+ * A request during a rotation gets the same rotation: its key has not signed
+ * anything yet.
  */
 static void rotate(dy_registry_t *registry, const char *salt,
 		   dy_change_result_t *result)
 {
-	if (registry_key_waits(registry))
+	if (registry_has_pending_key(registry))
 		result->message = "a rotation is under way already";
 	else if (!registry_add_key(registry, salt))
 		refuse(result, DY_STATUS_CONFLICT, "too many keys are in use");
-	result->number = registry->last_key;
+	result->number = registry->last_key_id;
 }
 
-/* The caller has judged whether there is such a domain: settings may say. */
+/*
+ * The control has already checked that the domain exists, which may be known
+ * from its settings only.
+ */
 static void change_domain(dy_registry_t *registry, const dy_change_t *change,
 			  dy_change_result_t *result)
 {
@@ -275,8 +278,9 @@
 	result->number = registry->index;
 }
 
-static void decide(dy_registry_t *registry, const dy_operator_change_t *args,
-		   dy_change_result_t *result)
+static void execute_change(dy_registry_t *registry,
+			   const dy_operator_change_t *args,
+			   dy_change_result_t *result)
 {
 	switch (args->change.kind) {
 	case DY_CHANGE_SUBMIT:
@@ -304,27 +308,28 @@
 }
 
 /*
- * Guards against a change that is resent because its answer was lost: it
- * would conflict with itself, or be made twice. The first answer stands in
- * the state, so a new leader gives it too.
+ * A change may be retransmitted because its answer was lost. It would conflict
+ * with itself or be made twice, so its first answer is kept in the replicated
+ * state, where a new leader finds it too.
  */
-void registry_change(dy_registry_t *registry, const dy_operator_change_t *args)
+void registry_apply_change(dy_registry_t *registry,
+			   const dy_operator_change_t *args)
 {
 	const dy_change_t *change = &args->change;
 	dy_change_result_t result = { 0 };
 
 	if (dy_registry_find_answer(registry, change->request)) {
-		registry_tell(registry, DY_EVENT_CHANGE_RESENT,
-			      change->environment, change->operator_name,
-			      change->number);
+		registry_emit_event(registry, DY_EVENT_CHANGE_RESENT,
+				    change->environment, change->operator_name,
+				    change->number);
 		return;
 	}
 	result.operator_name = "";
 	result.message = "";
-	decide(registry, args, &result);
+	execute_change(registry, args, &result);
 	if (result.status != DY_STATUS_OK)
-		registry_tell(registry, DY_EVENT_CHANGE_REFUSED,
-			      change->environment, change->operator_name,
-			      result.status);
+		registry_emit_event(registry, DY_EVENT_CHANGE_REFUSED,
+				    change->environment, change->operator_name,
+				    result.status);
 	registry_keep_answer(registry, change->request, &result);
 }
--- a/src/version/registry_contents.c
+++ b/src/version/registry_contents.c
@@ -1,6 +1,6 @@
 /*
- * Bytes of documents. They come through the log page by page, so that every
- * control holds them before the change that puts them in force.
+ * Bytes of documents. They are replicated through the log in pages, so that
+ * every control holds them before the change that puts them in force.
  */
 
 #include <string.h>
@@ -27,7 +27,7 @@
 {
 	const content_t *content = registry_find_content(registry, digest);
 
-	if (!content || !content->checked)
+	if (!content || !content->validated)
 		return NULL;
 	*size = content->size;
 	return content->bytes;
@@ -37,7 +37,7 @@
 {
 	dy_list_remove(&content->link);
 	g_free(content->bytes);
-	g_free(content->fault);
+	g_free(content->error);
 	g_free(content);
 }
 
@@ -64,7 +64,6 @@
 	return 0;
 }
 
-/* Drop the oldest staged contents beyond DY_REGISTRY_STAGED_MAX. */
 void registry_trim_contents(dy_registry_t *registry)
 {
 	unsigned staged = 0;
@@ -102,7 +101,7 @@
 	return content;
 }
 
-static int has_digest(const content_t *content)
+static int matches_digest(const content_t *content)
 {
 	GChecksum *checksum = g_checksum_new(G_CHECKSUM_SHA256);
 	uint8_t digest[DY_DIGEST_BYTES];
@@ -115,26 +114,25 @@
 }
 
 /*
- * Guards against a document that is put in force with bytes that are not the
- * operator's, as when pages of two uploads mix: the digest is taken over the
- * bytes as every control holds them.
+ * Checks the digest of the bytes that this control holds, since pages of two
+ * uploads may be mixed and other bytes than the operator's put in force.
  */
-static void check_content(dy_registry_t *registry, content_t *content)
+static void validate_content(dy_registry_t *registry, content_t *content)
 {
 	const dy_registry_callbacks_t *callbacks = &registry->callbacks;
 	char message[256] = "";
 
-	if (!has_digest(content)) {
-		registry_tell(registry, DY_EVENT_CONTENT_DAMAGED, "", "",
-			      content->size);
+	if (!matches_digest(content)) {
+		registry_emit_event(registry, DY_EVENT_CONTENT_DAMAGED, "", "",
+				    content->size);
 		drop_content(content);
 		return;
 	}
-	content->checked = 1;
+	content->validated = 1;
 	if (callbacks->validate &&
 	    !callbacks->validate(callbacks->context, content->bytes,
 				 content->size, message, sizeof(message)))
-		content->fault = g_strdup(message);
+		content->error = g_strdup(message);
 }
 
 void registry_add_page(dy_registry_t *registry, const dy_content_page_t *page)
@@ -146,14 +144,16 @@
 	    page->offset > page->size || len > page->size - page->offset)
 		return;
 	content = keep_content(registry, page);
-	if (!content || content->checked || content->size != page->size ||
-	    content->have != page->offset)
+	if (!content || content->validated || content->size != page->size ||
+	    content->received_bytes != page->offset)
 		return;
-	content->bytes = g_realloc(content->bytes, content->have + len);
-	memcpy(content->bytes + content->have, page->bytes.bytes_val, len);
-	content->have += len;
-	if (content->have == content->size)
-		check_content(registry, content);
+	content->bytes =
+		g_realloc(content->bytes, content->received_bytes + len);
+	memcpy(content->bytes + content->received_bytes, page->bytes.bytes_val,
+	       len);
+	content->received_bytes += len;
+	if (content->received_bytes == content->size)
+		validate_content(registry, content);
 }
 
 int dy_registry_is_tried(const dy_registry_t *registry, const uint8_t *digest)
@@ -166,7 +166,7 @@
 	return 0;
 }
 
-void registry_try_content(dy_registry_t *registry, const uint8_t *digest)
+void registry_mark_tried(dy_registry_t *registry, const uint8_t *digest)
 {
 	const dy_registry_document_t *trial =
 		&registry->environments[DY_TRIAL].document;
@@ -181,6 +181,6 @@
 	}
 	memcpy(registry->tried[registry->tried_count++], digest,
 	       DY_DIGEST_BYTES);
-	registry_tell(registry, DY_EVENT_DOCUMENT_TRIED,
-		      dy_environment_name(DY_TRIAL), "", trial->number);
+	registry_emit_event(registry, DY_EVENT_DOCUMENT_TRIED,
+			    dy_environment_name(DY_TRIAL), "", trial->number);
 }
--- a/src/version/registry_domains.c
+++ b/src/version/registry_domains.c
@@ -1,5 +1,5 @@
 /*
- * Failure domains that operators evacuate: their targets take no new flow.
+ * Failure domains evacuated by operators. Their targets get no new flows.
  */
 
 #include <string.h>
@@ -41,29 +41,29 @@
 		domain = add_domain(registry, change->name);
 	if (!domain)
 		return 0;
-	/* A change that is sent again changes nothing. */
+	/* A repeated change is not announced to members again. */
 	if (domain->evacuated == evacuated)
 		return 1;
 	domain->evacuated = evacuated;
 	domain->changed = registry->index;
 	g_strlcpy(domain->operator_name, change->operator_name,
 		  sizeof(domain->operator_name));
-	registry_tell(registry,
-		      evacuated ? DY_EVENT_DOMAIN_EVACUATED
-				: DY_EVENT_DOMAIN_READMITTED,
-		      "", domain->name, registry->index);
+	registry_emit_event(registry,
+			    evacuated ? DY_EVENT_DOMAIN_EVACUATED
+				      : DY_EVENT_DOMAIN_READMITTED,
+			    "", domain->name, registry->index);
 	return 1;
 }
 
-void registry_show_domain(const dy_registry_domain_t *domain, dy_delta_t *delta)
+void registry_fill_domain(const dy_registry_domain_t *domain, dy_delta_t *delta)
 {
 	delta->kind = DY_DELTA_DOMAIN;
 	delta->dy_delta_t_u.domain.name = (char *)domain->name;
 	delta->dy_delta_t_u.domain.evacuated = domain->evacuated;
 }
 
-int registry_append_domain(dy_registry_t *registry,
-			   const dy_saved_domain_t *saved)
+int registry_restore_domain(dy_registry_t *registry,
+			    const dy_saved_domain_t *saved)
 {
 	dy_registry_domain_t *domain = add_domain(registry, saved->info.name);
 
--- a/src/version/registry_keys.c
+++ b/src/version/registry_keys.c
@@ -1,6 +1,7 @@
 /*
- * Token keys: added, a while later active, retired long after the next one
- * took over. No member ever meets a token whose key it cannot know.
+ * Token keys. A key is added, activated after every member has received it,
+ * and retired a long time after the next one became active, so every member
+ * has the key of each token that it may receive.
  */
 
 #include <string.h>
@@ -16,8 +17,8 @@
 }
 
 /*
- * Guards against two controls, or two moments, that sign with different
- * keys: exactly one key is active as soon as there is any.
+ * Exactly one key is active once there is any. Otherwise processes could sign
+ * with different keys.
  */
 void registry_check_keys(const dy_registry_t *registry)
 {
@@ -32,12 +33,12 @@
 	dy_assert(active == (registry->key_count ? 1 : 0));
 }
 
-static void touch_key(dy_registry_t *registry, dy_registry_key_t *key,
-		      dy_registry_event_t event)
+static void record_key_change(dy_registry_t *registry, dy_registry_key_t *key,
+			      dy_registry_event_t event)
 {
 	key->changed = registry->index;
 	key->since_ms = registry->now_ms;
-	registry_tell(registry, event, "", "", key->info.id);
+	registry_emit_event(registry, event, "", "", key->info.id);
 }
 
 static dy_registry_key_t *find_key(dy_registry_t *registry, uint32_t id)
@@ -50,7 +51,7 @@
 	return NULL;
 }
 
-/* Make room by dropping the oldest key that is retired long since. */
+/* Drops the oldest retired key if there are too many. */
 static void trim_retired(dy_registry_t *registry)
 {
 	unsigned retired = 0;
@@ -67,23 +68,23 @@
 		(registry->key_count - i) * sizeof(registry->keys[0]));
 }
 
-static int is_waiting(const dy_registry_key_t *key)
+static int is_pending(const dy_registry_key_t *key)
 {
 	return !key->info.active && !key->info.retired;
 }
 
-/* The newest key in use waits for its turn if it is not the active one. */
+/* The newest key is pending if it is not the active one. */
 static const dy_registry_key_t *newest_key(const dy_registry_t *registry)
 {
 	return registry->key_count ? &registry->keys[registry->key_count - 1]
 				   : NULL;
 }
 
-int registry_key_waits(const dy_registry_t *registry)
+int registry_has_pending_key(const dy_registry_t *registry)
 {
 	const dy_registry_key_t *newest = newest_key(registry);
 
-	return newest && is_waiting(newest);
+	return newest && is_pending(newest);
 }
 
 int registry_add_key(dy_registry_t *registry, const char *salt)
@@ -95,18 +96,18 @@
 
 	for (i = 0; i < registry->key_count; i++)
 		in_use += !registry->keys[i].info.retired;
-	if (in_use >= DY_TOKEN_KEYS_MAX || registry_key_waits(registry))
+	if (in_use >= DY_TOKEN_KEYS_MAX || registry_has_pending_key(registry))
 		return 0;
 	dy_assert(registry->key_count < KEYS_MAX);
 	key = &registry->keys[registry->key_count++];
 	memset(key, 0, sizeof(*key));
-	key->info.id = ++registry->last_key;
+	key->info.id = ++registry->last_key_id;
 	memcpy(key->info.salt, salt, DY_SALT_BYTES);
-	touch_key(registry, key, DY_EVENT_KEY_ADDED);
-	/* No token is out yet, so the first need not be distributed before. */
+	record_key_change(registry, key, DY_EVENT_KEY_ADDED);
+	/* No token exists yet, so the first key signs without distribution. */
 	if (!newest) {
 		key->info.active = TRUE;
-		touch_key(registry, key, DY_EVENT_KEY_ACTIVE);
+		record_key_change(registry, key, DY_EVENT_KEY_ACTIVE);
 	}
 	return 1;
 }
@@ -116,7 +117,7 @@
 	dy_registry_key_t *key = find_key(registry, id);
 	unsigned i;
 
-	if (!key || !is_waiting(key) || key != newest_key(registry))
+	if (!key || !is_pending(key) || key != newest_key(registry))
 		return;
 	for (i = 0; i < registry->key_count; i++) {
 		if (!registry->keys[i].info.active)
@@ -126,21 +127,21 @@
 		registry->keys[i].since_ms = registry->now_ms;
 	}
 	key->info.active = TRUE;
-	touch_key(registry, key, DY_EVENT_KEY_ACTIVE);
+	record_key_change(registry, key, DY_EVENT_KEY_ACTIVE);
 }
 
 static void retire_key(dy_registry_t *registry, uint32_t id)
 {
 	dy_registry_key_t *key = find_key(registry, id);
 
-	if (!key || !is_waiting(key) || key == newest_key(registry))
+	if (!key || !is_pending(key) || key == newest_key(registry))
 		return;
 	key->info.retired = TRUE;
-	touch_key(registry, key, DY_EVENT_KEY_RETIRED);
+	record_key_change(registry, key, DY_EVENT_KEY_RETIRED);
 	trim_retired(registry);
 }
 
-void registry_step_key(dy_registry_t *registry, const dy_key_step_t *step)
+void registry_apply_key_step(dy_registry_t *registry, const dy_key_step_t *step)
 {
 	switch (step->step) {
 	case DY_KEY_ADD:
@@ -155,8 +156,8 @@
 	}
 }
 
-static int is_past(const dy_registry_t *registry, const dy_registry_key_t *key,
-		   uint64_t after_ms)
+static int has_elapsed(const dy_registry_t *registry,
+		       const dy_registry_key_t *key, uint64_t after_ms)
 {
 	return key->since_ms + after_ms <= registry->now_ms;
 }
@@ -169,19 +170,19 @@
 
 	memset(step, 0, sizeof(*step));
 	if (!newest || (newest->info.active &&
-			is_past(registry, newest, times->rotate_ms))) {
+			has_elapsed(registry, newest, times->rotate_ms))) {
 		step->step = DY_KEY_ADD;
 		return 1;
 	}
-	if (is_waiting(newest) &&
-	    is_past(registry, newest, times->distribute_ms)) {
+	if (is_pending(newest) &&
+	    has_elapsed(registry, newest, times->distribute_ms)) {
 		step->step = DY_KEY_ACTIVATE;
 		step->id = newest->info.id;
 		return 1;
 	}
 	for (i = 0; i + 1 < registry->key_count; i++) {
-		if (!is_waiting(&registry->keys[i]) ||
-		    !is_past(registry, &registry->keys[i], times->renew_ms))
+		if (!is_pending(&registry->keys[i]) ||
+		    !has_elapsed(registry, &registry->keys[i], times->renew_ms))
 			continue;
 		step->step = DY_KEY_RETIRE;
 		step->id = registry->keys[i].info.id;
--- a/src/version/registry_leases.c
+++ b/src/version/registry_leases.c
@@ -1,39 +1,39 @@
 /*
- * The leader's part of a record: when it was heard, and what it told.
- * Nothing here decides anything in dy_registry_apply().
+ * Leases and reported documents of members, local to the leader.
+ * dy_registry_apply() does not depend on them.
  */
 
 #include "registry_private.h"
 
-static dy_registry_member_t *item(dy_list_t *link)
+static dy_registry_member_t *lease_member(dy_list_t *link)
 {
 	return DY_LIST_ITEM(link, dy_registry_member_t, lease_link);
 }
 
-static void restart_list(dy_registry_t *registry, dy_list_t *list)
+static void restart_leases_in(dy_registry_t *registry, dy_list_t *list)
 {
 	dy_list_t *pos;
 
 	DY_LIST_EACH(pos, list)
 	{
-		item(pos)->heard_ms = registry->now_ms;
-		item(pos)->document = 0;
-		item(pos)->mark_proposed = 0;
+		lease_member(pos)->heard_ms = registry->now_ms;
+		lease_member(pos)->document = 0;
+		lease_member(pos)->mark_proposed = 0;
 	}
 }
 
 /*
- * Guards against a new leader that takes members for dead which it never
- * listened to: they would all be suspect at once after an election.
+ * A new leader has not received any poll, so without new leases all members
+ * would become suspect at once after an election.
  */
 void dy_registry_restart_leases(dy_registry_t *registry)
 {
 	unsigned i;
 
-	restart_list(registry, &registry->live);
-	restart_list(registry, &registry->suspect);
+	restart_leases_in(registry, &registry->live);
+	restart_leases_in(registry, &registry->suspect);
 	for (i = 0; i < DY_ENVIRONMENTS; i++)
-		restart_list(registry, &registry->environments[i].gone);
+		restart_leases_in(registry, &registry->environments[i].ended);
 }
 
 void dy_registry_renew_lease(dy_registry_t *registry, uint64_t id,
@@ -45,10 +45,10 @@
 		return;
 	member->document = document;
 	if (member->state != DY_MEMBER_SUSPECT)
-		registry_stamp(registry, member);
+		registry_refresh_lease(registry, member);
 }
 
-/* Find the first of a list that is due and not yet proposed. */
+/* Finds the first member of a list that is due and has no proposed mark. */
 static dy_registry_member_t *find_due(const dy_registry_t *registry,
 				      dy_list_t *list, uint64_t after_ms)
 {
@@ -57,7 +57,7 @@
 
 	DY_LIST_EACH(pos, list)
 	{
-		member = item(pos);
+		member = lease_member(pos);
 		if (member->heard_ms + after_ms > registry->now_ms)
 			return NULL;
 		if (!member->mark_proposed)
@@ -79,10 +79,11 @@
 }
 
 /*
- * Guards against a member that misses another's end: it was away while the
- * other left, comes back, and is not told, since the record is dropped. It
- * would route to the dead one for good. A record is kept for twice as long
- * as one may stay away and come back, so whoever missed the end is dead too.
+ * The record of an ended member is kept for this many times keep_ms. A member
+ * that was disconnected while another one ended would not be told if the
+ * record had been dropped, and would route to the ended one forever. A member
+ * can return for keep_ms after it became suspect, so after twice that time any
+ * member that missed the end is dead too.
  */
 #define FORGET_FACTOR 2
 
@@ -97,23 +98,24 @@
 		     mark, DY_MARK_DEAD))
 		return 1;
 	for (i = 0; i < DY_ENVIRONMENTS; i++)
-		if (set_mark(find_due(registry, &registry->environments[i].gone,
+		if (set_mark(find_due(registry,
+				      &registry->environments[i].ended,
 				      FORGET_FACTOR * times->keep_ms),
 			     mark, DY_MARK_FORGET))
 			return 1;
 	return 0;
 }
 
-static int retry_in(dy_list_t *list, const dy_member_mark_t *mark)
+static int retry_mark_in(dy_list_t *list, const dy_member_mark_t *mark)
 {
 	dy_list_t *pos;
 
 	DY_LIST_EACH(pos, list)
 	{
-		if (item(pos)->id != mark->id ||
-		    item(pos)->incarnation != mark->incarnation)
+		if (lease_member(pos)->id != mark->id ||
+		    lease_member(pos)->incarnation != mark->incarnation)
 			continue;
-		item(pos)->mark_proposed = 0;
+		lease_member(pos)->mark_proposed = 0;
 		return 1;
 	}
 	return 0;
@@ -124,11 +126,11 @@
 {
 	int i;
 
-	if (retry_in(&registry->live, mark) ||
-	    retry_in(&registry->suspect, mark))
+	if (retry_mark_in(&registry->live, mark) ||
+	    retry_mark_in(&registry->suspect, mark))
 		return;
 	for (i = 0; i < DY_ENVIRONMENTS; i++)
-		if (retry_in(&registry->environments[i].gone, mark))
+		if (retry_mark_in(&registry->environments[i].ended, mark))
 			return;
 }
 
@@ -144,7 +146,7 @@
 	*in_force = 0;
 	DY_LIST_EACH(pos, &registry->live)
 	{
-		member = item(pos);
+		member = lease_member(pos);
 		if (member->environment != environment)
 			continue;
 		++*live;
--- a/src/version/registry_members.c
+++ b/src/version/registry_members.c
@@ -23,12 +23,13 @@
 	       member->state != DY_MEMBER_DEAD;
 }
 
-static void tell_member(const dy_registry_t *registry,
-			dy_registry_event_t event,
-			const dy_registry_member_t *member)
+static void emit_member_event(const dy_registry_t *registry,
+			      dy_registry_event_t event,
+			      const dy_registry_member_t *member)
 {
-	registry_tell(registry, event, dy_environment_name(member->environment),
-		      member->name, member->incarnation);
+	registry_emit_event(registry, event,
+			    dy_environment_name(member->environment),
+			    member->name, member->incarnation);
 }
 
 int registry_info_is_valid(const dy_member_info_t *info)
@@ -91,8 +92,8 @@
 	return service;
 }
 
-static void leave_service(environment_t *environment,
-			  dy_registry_member_t *member)
+static void remove_from_service(environment_t *environment,
+				dy_registry_member_t *member)
 {
 	service_t *service;
 
@@ -104,9 +105,9 @@
 		g_hash_table_remove(environment->services, member->service);
 }
 
-/* Put a member last in the lists that are ordered by change. */
-static void touch_member(dy_registry_t *registry, dy_registry_member_t *member,
-			 uint64_t index)
+/* Moves a member to the end of the lists ordered by change. */
+static void record_change(dy_registry_t *registry, dy_registry_member_t *member,
+			  uint64_t index)
 {
 	environment_t *environment =
 		&registry->environments[member->environment];
@@ -131,25 +132,27 @@
 	g_free(member);
 }
 
-/* Remove the record of one that is gone. */
+/* Removes the record of an ended member. */
 static void forget_member(dy_registry_t *registry, dy_registry_member_t *member)
 {
 	environment_t *environment =
 		&registry->environments[member->environment];
 
 	dy_assert(!dy_member_is_live(member));
-	tell_member(registry, DY_EVENT_MEMBER_FORGOTTEN, member);
-	registry->forgotten = MAX(registry->forgotten, member->changed);
+	emit_member_event(registry, DY_EVENT_MEMBER_FORGOTTEN, member);
+	registry->forgotten_index =
+		MAX(registry->forgotten_index, member->changed);
 	if (member->current)
 		g_hash_table_remove(registry->members, &member->id);
-	environment->gone_count--;
+	environment->ended_count--;
 	dy_list_remove(&member->lease_link);
 	dy_list_remove(&member->environment_link);
-	leave_service(environment, member);
+	remove_from_service(environment, member);
 	registry_free_member(member);
 }
 
-void registry_stamp(dy_registry_t *registry, dy_registry_member_t *member)
+void registry_refresh_lease(dy_registry_t *registry,
+			    dy_registry_member_t *member)
 {
 	environment_t *environment =
 		&registry->environments[member->environment];
@@ -158,7 +161,7 @@
 	if (member->state == DY_MEMBER_SUSPECT)
 		list = &registry->suspect;
 	else if (!dy_member_is_live(member))
-		list = &environment->gone;
+		list = &environment->ended;
 	member->heard_ms = registry->now_ms;
 	member->mark_proposed = 0;
 	dy_list_remove(&member->lease_link);
@@ -166,8 +169,8 @@
 }
 
 /*
- * Enter a state that it does not leave any more. Bounds the records of those
- * that are gone, so that no storm of restarts fills the memory.
+ * Sets a final state. The number of ended records is bounded, so that many
+ * restarts cannot exhaust the memory.
  */
 static void end_member(dy_registry_t *registry, dy_registry_member_t *member,
 		       dy_member_state_t state)
@@ -177,18 +180,19 @@
 
 	member->state = state;
 	member->drain = 0;
-	environment->gone_count++;
-	touch_member(registry, member, registry->index);
-	registry_stamp(registry, member);
-	if (environment->gone_count > DY_REGISTRY_ENDED_MAX)
+	environment->ended_count++;
+	record_change(registry, member, registry->index);
+	registry_refresh_lease(registry, member);
+	if (environment->ended_count > DY_REGISTRY_ENDED_MAX)
 		forget_member(registry,
-			      DY_LIST_ITEM(environment->gone.next,
+			      DY_LIST_ITEM(environment->ended.next,
 					   dy_registry_member_t, lease_link));
 }
 
-void registry_kill(dy_registry_t *registry, dy_registry_member_t *member)
+void registry_declare_dead(dy_registry_t *registry,
+			   dy_registry_member_t *member)
 {
-	tell_member(registry, DY_EVENT_MEMBER_DEAD, member);
+	emit_member_event(registry, DY_EVENT_MEMBER_DEAD, member);
 	end_member(registry, member, DY_MEMBER_DEAD);
 }
 
@@ -220,7 +224,7 @@
 			g_memdup2(successors, count * sizeof(*successors));
 }
 
-/* A record of info in no list but the table. */
+/* Creates a record that is in no list or table yet. */
 static dy_registry_member_t *create_member(const dy_member_info_t *info,
 					   uint64_t boot, uint64_t incarnation)
 {
@@ -252,12 +256,12 @@
 		old->current = 0;
 	}
 	member->current = 1;
-	/* The key stands in the record: replace both. */
+	/* The key is part of the record: replace both. */
 	g_hash_table_replace(registry->members, &member->id, member);
 }
 
-int registry_is_successor(const dy_registry_member_t *member,
-			  const dy_member_info_t *info, uint64_t boot)
+int registry_is_restart(const dy_registry_member_t *member,
+			const dy_member_info_t *info, uint64_t boot)
 {
 	return boot > member->boot && info->address.port &&
 	       member->port == info->address.port &&
@@ -265,12 +269,12 @@
 }
 
 /*
- * Guards against two processes that serve under one name, as when a machine
- * is taken for dead and replaced: the newer one is let in only after the
- * older one's lease ran out (SUSPECT), and then the older one's incarnation
- * is dead for good.
+ * Two processes must not serve under one name, as when a VM is considered dead
+ * and replaced. Unless it is a restart of the older process, the newer one may
+ * join only after the older one's lease expired (SUSPECT), and then the older
+ * incarnation is marked dead for good.
  */
-void registry_join(dy_registry_t *registry, const dy_member_join_t *join)
+void registry_apply_join(dy_registry_t *registry, const dy_member_join_t *join)
 {
 	dy_registry_member_t *member;
 	dy_registry_member_t *old;
@@ -282,22 +286,22 @@
 	if (old && dy_member_is_live(old) && old->boot == join->boot)
 		return;
 	if (old && dy_member_is_live(old) && old->state != DY_MEMBER_SUSPECT &&
-	    !registry_is_successor(old, &join->info, join->boot)) {
-		tell_member(registry, DY_EVENT_MEMBER_REFUSED, old);
+	    !registry_is_restart(old, &join->info, join->boot)) {
+		emit_member_event(registry, DY_EVENT_MEMBER_REFUSED, old);
 		return;
 	}
 	if (old && dy_member_is_live(old))
-		registry_kill(registry, old);
+		registry_declare_dead(registry, old);
 	member = create_member(&join->info, join->boot, registry->index);
 	add_member(registry, member);
-	tell_member(registry, DY_EVENT_MEMBER_JOINED, member);
+	emit_member_event(registry, DY_EVENT_MEMBER_JOINED, member);
 	if (join->state == DY_MEMBER_LEFT) {
 		end_member(registry, member, DY_MEMBER_LEFT);
 		return;
 	}
 	member->state = (uint8_t)join->state;
-	touch_member(registry, member, registry->index);
-	registry_stamp(registry, member);
+	record_change(registry, member, registry->index);
+	registry_refresh_lease(registry, member);
 }
 
 static dy_registry_event_t update_event(unsigned before, unsigned after)
@@ -311,7 +315,8 @@
 	return DY_EVENT_MEMBER_CHANGED;
 }
 
-void registry_update(dy_registry_t *registry, const dy_member_update_t *update)
+void registry_apply_update(dy_registry_t *registry,
+			   const dy_member_update_t *update)
 {
 	dy_registry_member_t *member;
 
@@ -324,9 +329,10 @@
 		return;
 	if (*member->service && strcmp(member->service, update->info.service))
 		return;
-	tell_member(registry, update_event(member->state, update->state),
-		    member);
-	leave_service(&registry->environments[member->environment], member);
+	emit_member_event(registry, update_event(member->state, update->state),
+			  member);
+	remove_from_service(&registry->environments[member->environment],
+			    member);
 	store_info(member, &update->info);
 	store_successors(member, update->successors.successors_val,
 			 update->successors.successors_len);
@@ -335,20 +341,20 @@
 		return;
 	}
 	member->state = (uint8_t)update->state;
-	touch_member(registry, member, registry->index);
-	registry_stamp(registry, member);
+	record_change(registry, member, registry->index);
+	registry_refresh_lease(registry, member);
 }
 
-/* An older record of a name is found among the oldest that are gone. */
-static dy_registry_member_t *find_gone(const dy_registry_t *registry,
-				       const dy_member_mark_t *mark)
+/* Finds an ended record, which may not be the newest of its name. */
+static dy_registry_member_t *find_ended(const dy_registry_t *registry,
+					const dy_member_mark_t *mark)
 {
 	dy_registry_member_t *member;
 	dy_list_t *pos;
 	int i;
 
 	for (i = 0; i < DY_ENVIRONMENTS; i++) {
-		DY_LIST_EACH(pos, &registry->environments[i].gone)
+		DY_LIST_EACH(pos, &registry->environments[i].ended)
 		{
 			member = DY_LIST_ITEM(pos, dy_registry_member_t,
 					      lease_link);
@@ -360,21 +366,20 @@
 	return NULL;
 }
 
-static void suspect_member(dy_registry_t *registry,
-			   dy_registry_member_t *member)
+static void mark_suspect(dy_registry_t *registry, dy_registry_member_t *member)
 {
-	tell_member(registry, DY_EVENT_MEMBER_SUSPECT, member);
+	emit_member_event(registry, DY_EVENT_MEMBER_SUSPECT, member);
 	member->state = DY_MEMBER_SUSPECT;
-	touch_member(registry, member, registry->index);
-	registry_stamp(registry, member);
+	record_change(registry, member, registry->index);
+	registry_refresh_lease(registry, member);
 }
 
-void registry_mark(dy_registry_t *registry, const dy_member_mark_t *mark)
+void registry_apply_mark(dy_registry_t *registry, const dy_member_mark_t *mark)
 {
 	dy_registry_member_t *member;
 
 	if (mark->mark == DY_MARK_FORGET) {
-		member = find_gone(registry, mark);
+		member = find_ended(registry, mark);
 		if (member)
 			forget_member(registry, member);
 		return;
@@ -384,31 +389,31 @@
 	    !dy_member_is_live(member))
 		return;
 	if (mark->mark == DY_MARK_DEAD && member->state == DY_MEMBER_SUSPECT)
-		registry_kill(registry, member);
+		registry_declare_dead(registry, member);
 	else if (mark->mark == DY_MARK_SUSPECT &&
 		 member->state != DY_MEMBER_SUSPECT)
-		suspect_member(registry, member);
+		mark_suspect(registry, member);
 }
 
-void registry_append_member(dy_registry_t *registry,
-			    const dy_saved_member_t *saved)
+void registry_restore_member(dy_registry_t *registry,
+			     const dy_saved_member_t *saved)
 {
-	const dy_member_t *shown = &saved->member;
+	const dy_member_t *source = &saved->member;
 	dy_registry_member_t *member;
 
-	member = create_member(&shown->info, saved->boot, shown->incarnation);
-	member->state = (uint8_t)shown->state;
+	member = create_member(&source->info, saved->boot, source->incarnation);
+	member->state = (uint8_t)source->state;
 	member->drain = !!saved->drain;
-	store_successors(member, (uint64_t *)shown->successors.successors_val,
-			 shown->successors.successors_len);
+	store_successors(member, (uint64_t *)source->successors.successors_val,
+			 source->successors.successors_len);
 	if (saved->current) {
 		member->current = 1;
 		g_hash_table_replace(registry->members, &member->id, member);
 	}
 	if (!dy_member_is_live(member))
-		registry->environments[member->environment].gone_count++;
-	touch_member(registry, member, saved->changed);
-	registry_stamp(registry, member);
+		registry->environments[member->environment].ended_count++;
+	record_change(registry, member, saved->changed);
+	registry_refresh_lease(registry, member);
 }
 
 void registry_drop_members(dy_registry_t *registry)
@@ -429,33 +434,32 @@
 			registry_free_member(member);
 		}
 		dy_list_init(&environment->members);
-		dy_list_init(&environment->gone);
-		environment->gone_count = 0;
+		dy_list_init(&environment->ended);
+		environment->ended_count = 0;
 		g_hash_table_remove_all(environment->services);
 	}
 	dy_list_init(&registry->live);
 	dy_list_init(&registry->suspect);
 }
 
-void registry_show_member(const dy_registry_member_t *member,
-			  dy_member_t *shown)
+void registry_fill_member(const dy_registry_member_t *member, dy_member_t *out)
 {
-	shown->id = member->id;
-	shown->incarnation = member->incarnation;
-	shown->state = member->state;
-	shown->info.kind = member->kind;
-	shown->info.name = (char *)member->name;
-	shown->info.environment =
+	out->id = member->id;
+	out->incarnation = member->incarnation;
+	out->state = member->state;
+	out->info.kind = member->kind;
+	out->info.name = (char *)member->name;
+	out->info.environment =
 		(char *)dy_environment_name(member->environment);
-	shown->info.domain = member->domain;
-	memcpy(shown->info.address.ip, member->ip, DY_IP_BYTES);
-	shown->info.address.port = member->port;
-	shown->info.service = member->service;
-	shown->info.labels = member->labels;
-	shown->info.slots = member->slots;
-	shown->info.connections = member->connections;
-	shown->successors.successors_len = member->successor_count;
-	shown->successors.successors_val = (void *)member->successors;
+	out->info.domain = member->domain;
+	memcpy(out->info.address.ip, member->ip, DY_IP_BYTES);
+	out->info.address.port = member->port;
+	out->info.service = member->service;
+	out->info.labels = member->labels;
+	out->info.slots = member->slots;
+	out->info.connections = member->connections;
+	out->successors.successors_len = member->successor_count;
+	out->successors.successors_val = (void *)member->successors;
 }
 
 void dy_registry_each_member(const dy_registry_t *registry,
--- a/src/version/registry_poll.c
+++ b/src/version/registry_poll.c
@@ -1,5 +1,6 @@
 /*
- * What a member's poll asks for, and what it is told.
+ * Members' polls: how the leader handles them, and the changes that it answers
+ * with.
  */
 
 #include <stdlib.h>
@@ -54,9 +55,10 @@
 	return DY_POLL_REFUSE;
 }
 
-static dy_poll_action_t judge_known(const dy_registry_member_t *member,
-				    const dy_poll_t *poll,
-				    dy_command_t *command, dy_status_t *status)
+static dy_poll_action_t evaluate_member(const dy_registry_member_t *member,
+					const dy_poll_t *poll,
+					dy_command_t *command,
+					dy_status_t *status)
 {
 	dy_member_update_t *update = &command->dy_command_t_u.update;
 
@@ -73,16 +75,17 @@
 	return DY_POLL_PROPOSE;
 }
 
-static dy_poll_action_t judge_new(const dy_registry_t *registry,
-				  const dy_registry_member_t *holder,
-				  const dy_poll_t *poll, dy_command_t *command,
-				  dy_status_t *status)
+static dy_poll_action_t evaluate_join(const dy_registry_t *registry,
+				      const dy_registry_member_t *holder,
+				      const dy_poll_t *poll,
+				      dy_command_t *command,
+				      dy_status_t *status)
 {
 	dy_member_join_t *join = &command->dy_command_t_u.join;
 
 	if (holder && dy_member_is_live(holder) &&
 	    holder->state != DY_MEMBER_SUSPECT &&
-	    !registry_is_successor(holder, &poll->info, poll->boot))
+	    !registry_is_restart(holder, &poll->info, poll->boot))
 		return refuse(status, DY_STATUS_NAME_TAKEN);
 	command->kind = DY_COMMAND_JOIN;
 	join->info = poll->info;
@@ -92,23 +95,26 @@
 }
 
 /*
- * Guards against a member whose state holds others whose end is no longer told:
- * it would route to them for good. So far behind is one that stayed away for
- * longer than any record is kept and joins with what it held, or that started
- * from the image of a control that was cut off for as long; it must start anew.
- * One that the leader tells the state page by page is not: its version is that
- * of the page, however old, and it holds none that ended before.
+ * Returns whether the poller's state may hold members whose ended records have
+ * been dropped. It would route to them forever, so it must start with an empty
+ * state. This happens to a member that was disconnected for longer than records
+ * are kept and joins with its old state, or that loaded the image of a control
+ * that was disconnected as long. A member that receives the state in pages is
+ * not affected: its version is that of a page, which may be old, but it holds
+ * no member that ended before.
  */
-static int is_too_old(const dy_registry_t *registry, const dy_poll_t *poll)
+static int is_version_forgotten(const dy_registry_t *registry,
+				const dy_poll_t *poll)
 {
 	return (!poll->incarnation || (poll->skips & DY_FROM_IMAGE)) &&
-	       poll->state_version && poll->state_version < registry->forgotten;
+	       poll->state_version &&
+	       poll->state_version < registry->forgotten_index;
 }
 
 /*
- * Guards against a process that was taken for dead, replaced, and comes back
- * believing that it holds its name: an incarnation that is not the newest of
- * its name, or is over, is superseded.
+ * A process that was considered dead and replaced may come back and still use
+ * its name. An incarnation that is not the newest of its name, or has ended,
+ * is refused as superseded.
  */
 dy_poll_action_t dy_registry_evaluate_poll(const dy_registry_t *registry,
 					   const dy_poll_t *poll,
@@ -121,78 +127,80 @@
 	*status = DY_STATUS_OK;
 	if (!is_valid(poll))
 		return refuse(status, DY_STATUS_MALFORMED);
-	if (is_too_old(registry, poll))
+	if (is_version_forgotten(registry, poll))
 		return refuse(status, DY_STATUS_SUPERSEDED);
 	member = find_poller(registry, poll);
 	if (!poll->incarnation &&
 	    !(member && member->boot == poll->boot &&
 	      (dy_member_is_live(member) || poll->state == DY_MEMBER_LEFT)))
-		return judge_new(registry, member, poll, command, status);
+		return evaluate_join(registry, member, poll, command, status);
 	if (!member || member->boot != poll->boot ||
 	    (poll->incarnation && member->incarnation != poll->incarnation) ||
 	    member->state == DY_MEMBER_DEAD)
 		return refuse(status, DY_STATUS_SUPERSEDED);
 	if (member->state != DY_MEMBER_LEFT)
-		return judge_known(member, poll, command, status);
+		return evaluate_member(member, poll, command, status);
 	return poll->state == DY_MEMBER_LEFT
 		       ? DY_POLL_ANSWER
 		       : refuse(status, DY_STATUS_SUPERSEDED);
 }
 
-/* One object that a poll may be told of. */
+/* A changed object. */
 typedef struct item {
 	uint64_t changed;
 	dy_delta_t delta;
 } item_t;
 
 /*
- * An entry of the log changes at most two objects of one kind and an answer
- * ends only between entries, so a few more than DY_DELTAS_MAX are gathered.
+ * A log entry changes at most two objects of one kind, and an answer ends
+ * between two entries, so a few more than DY_DELTAS_MAX are collected.
  */
 #define ITEMS_MAX (DY_DELTAS_MAX + KEYS_MAX + DY_REGISTRY_DOMAINS_MAX + 4)
 
-typedef struct gathering {
+typedef struct collection {
 	uint64_t version;
 	uint32_t skips;
-	/* Members beyond this change were not looked at. */
-	uint64_t upto;
+	/* Members that changed after this index were not examined. */
+	uint64_t scanned_index;
 	unsigned count;
 	item_t items[ITEMS_MAX];
-} gathering_t;
+} collection_t;
 
-static const dy_registry_member_t *by_link(const dy_list_t *link, int service)
+static const dy_registry_member_t *member_by_link(const dy_list_t *link,
+						  int service)
 {
 	return service ? DY_LIST_ITEM(link, dy_registry_member_t, service_link)
 		       : DY_LIST_ITEM(link, dy_registry_member_t,
 				      environment_link);
 }
 
-static void gather_member(gathering_t *gathering,
-			  const dy_registry_member_t *member)
+static void collect_member(collection_t *collection,
+			   const dy_registry_member_t *member)
 {
-	item_t *item = &gathering->items[gathering->count++];
+	item_t *item = &collection->items[collection->count++];
 
 	item->changed = member->changed;
 	item->delta.kind = DY_DELTA_MEMBER;
-	registry_show_member(member, &item->delta.dy_delta_t_u.member);
+	registry_fill_member(member, &item->delta.dy_delta_t_u.member);
 }
 
 /*
- * Find the first member that changed after version, or head. Looks from both
- * ends, since polls stand near the newest change or, at a start, the oldest.
+ * Finds the first member that changed after version, or head. Searches from
+ * both ends, since most pollers are near the newest change or, at their start,
+ * near the oldest.
  */
-static const dy_list_t *find_first(const dy_list_t *head, int service,
-				   uint64_t version)
+static const dy_list_t *find_first_changed(const dy_list_t *head, int service,
+					   uint64_t version)
 {
 	const dy_list_t *front = head->next;
 	const dy_list_t *back = head;
 
 	while (front != back) {
-		if (by_link(front, service)->changed > version)
+		if (member_by_link(front, service)->changed > version)
 			return front;
 		front = front->next;
 		if (front == back ||
-		    by_link(back->prev, service)->changed <= version)
+		    member_by_link(back->prev, service)->changed <= version)
 			return back;
 		back = back->prev;
 	}
@@ -200,40 +208,42 @@
 }
 
 /*
- * Of a start that knows nothing yet, and a group that has seen many restarts,
- * most of the answer would be members that are gone. One that joined after the
- * version that the poller holds, and ended, it never heard of.
+ * With DY_SKIP_ENDED, leaves out ended members that joined after the poller's
+ * version: the poller never received them. In a group with many restarts, most
+ * of the first answers would be ended members otherwise.
  */
-static int is_wanted(const gathering_t *gathering,
-		     const dy_registry_member_t *member)
+static int is_visible(const collection_t *collection,
+		      const dy_registry_member_t *member)
 {
 	return member->kind == DY_MEMBER_AGENT &&
-	       (!(gathering->skips & DY_SKIP_ENDED) ||
+	       (!(collection->skips & DY_SKIP_ENDED) ||
 		dy_member_is_live(member) ||
-		member->incarnation <= gathering->version);
+		member->incarnation <= collection->version);
 }
 
-static void gather_members(gathering_t *gathering, const dy_list_t *head,
-			   int service)
+static void collect_members(collection_t *collection, const dy_list_t *head,
+			    int service)
 {
 	const dy_registry_member_t *member;
-	const dy_list_t *pos = find_first(head, service, gathering->version);
+	const dy_list_t *pos =
+		find_first_changed(head, service, collection->version);
 
-	gathering->upto = gathering->version;
+	collection->scanned_index = collection->version;
 	for (; pos != head; pos = pos->next) {
-		member = by_link(pos, service);
-		if (gathering->count >= DY_DELTAS_MAX &&
-		    member->changed > gathering->upto) {
+		member = member_by_link(pos, service);
+		if (collection->count >= DY_DELTAS_MAX &&
+		    member->changed > collection->scanned_index) {
 			return;
 		}
-		gathering->upto = member->changed;
-		if (is_wanted(gathering, member))
-			gather_member(gathering, member);
+		collection->scanned_index = member->changed;
+		if (is_visible(collection, member))
+			collect_member(collection, member);
 	}
-	gathering->upto = UINT64_MAX;
+	collection->scanned_index = UINT64_MAX;
 }
 
-static void gather_keys(gathering_t *gathering, const dy_registry_t *registry)
+static void collect_keys(collection_t *collection,
+			 const dy_registry_t *registry)
 {
 	const dy_registry_key_t *key;
 	item_t *item;
@@ -241,18 +251,18 @@
 
 	for (i = 0; i < registry->key_count; i++) {
 		key = &registry->keys[i];
-		if (key->changed <= gathering->version ||
-		    key->changed > gathering->upto)
+		if (key->changed <= collection->version ||
+		    key->changed > collection->scanned_index)
 			continue;
-		item = &gathering->items[gathering->count++];
+		item = &collection->items[collection->count++];
 		item->changed = key->changed;
 		item->delta.kind = DY_DELTA_KEY;
 		item->delta.dy_delta_t_u.key = key->info;
 	}
 }
 
-static void gather_domains(gathering_t *gathering,
-			   const dy_registry_t *registry)
+static void collect_domains(collection_t *collection,
+			    const dy_registry_t *registry)
 {
 	const dy_registry_domain_t *domain;
 	item_t *item;
@@ -260,16 +270,16 @@
 
 	for (i = 0; i < registry->domain_count; i++) {
 		domain = &registry->domains[i];
-		if (domain->changed <= gathering->version ||
-		    domain->changed > gathering->upto)
+		if (domain->changed <= collection->version ||
+		    domain->changed > collection->scanned_index)
 			continue;
-		item = &gathering->items[gathering->count++];
+		item = &collection->items[collection->count++];
 		item->changed = domain->changed;
-		registry_show_domain(domain, &item->delta);
+		registry_fill_domain(domain, &item->delta);
 	}
 }
 
-static void show_document(const dy_registry_document_t *document,
+static void fill_document(const dy_registry_document_t *document,
 			  const char *environment, dy_delta_t *delta)
 {
 	dy_document_info_t *info = &delta->dy_delta_t_u.document;
@@ -281,18 +291,18 @@
 	info->size = document->size;
 }
 
-static void gather_document(gathering_t *gathering,
-			    const dy_registry_document_t *document,
-			    const char *environment)
+static void collect_document(collection_t *collection,
+			     const dy_registry_document_t *document,
+			     const char *environment)
 {
 	item_t *item;
 
-	if (!document->number || document->changed <= gathering->version ||
-	    document->changed > gathering->upto)
+	if (!document->number || document->changed <= collection->version ||
+	    document->changed > collection->scanned_index)
 		return;
-	item = &gathering->items[gathering->count++];
+	item = &collection->items[collection->count++];
 	item->changed = document->changed;
-	show_document(document, environment, &item->delta);
+	fill_document(document, environment, &item->delta);
 }
 
 static int compare_items(const void *a, const void *b)
@@ -303,32 +313,31 @@
 	return x->changed < y->changed ? -1 : x->changed > y->changed;
 }
 
-/* How many of the sorted items an answer takes, ending between entries. */
-static unsigned cut(const gathering_t *gathering)
+/* Returns how many of the sorted items fit, ending between log entries. */
+static unsigned count_fitting_items(const collection_t *collection)
 {
-	unsigned n = gathering->count;
+	unsigned n = collection->count;
 
 	if (n <= DY_DELTAS_MAX)
 		return n;
 	n = DY_DELTAS_MAX;
 	while (n &&
-	       gathering->items[n - 1].changed == gathering->items[n].changed)
+	       collection->items[n - 1].changed == collection->items[n].changed)
 		n--;
 	return n;
 }
 
-/* The members that the poller is told of. */
-static void gather_its_members(gathering_t *gathering,
-			       const environment_t *environment,
-			       const dy_poll_t *poll)
+static void collect_visible_members(collection_t *collection,
+				    const environment_t *environment,
+				    const dy_poll_t *poll)
 {
 	const service_t *service;
 
-	gathering->upto = UINT64_MAX;
+	collection->scanned_index = UINT64_MAX;
 	if (poll->skips & DY_SKIP_MEMBERS)
 		return;
 	if (poll->info.kind == DY_MEMBER_BALANCER) {
-		gather_members(gathering, &environment->members, 0);
+		collect_members(collection, &environment->members, 0);
 		return;
 	}
 	if (!*poll->info.service)
@@ -336,31 +345,31 @@
 	service =
 		g_hash_table_lookup(environment->services, poll->info.service);
 	if (service)
-		gather_members(gathering, &service->members, 1);
+		collect_members(collection, &service->members, 1);
 }
 
-static void gather(const dy_registry_t *registry, const dy_poll_t *poll,
-		   uint64_t version, gathering_t *gathering)
+static void collect(const dy_registry_t *registry, const dy_poll_t *poll,
+		    uint64_t version, collection_t *collection)
 {
 	int i = dy_environment_find(poll->info.environment);
 	const environment_t *environment = &registry->environments[i];
 
-	gathering->version = version;
-	gathering->skips = poll->skips;
-	gathering->count = 0;
-	gather_its_members(gathering, environment, poll);
+	collection->version = version;
+	collection->skips = poll->skips;
+	collection->count = 0;
+	collect_visible_members(collection, environment, poll);
 	if (!(poll->skips & DY_SKIP_KEYS))
-		gather_keys(gathering, registry);
+		collect_keys(collection, registry);
 	if (poll->skips & DY_TAKES_DOMAINS)
-		gather_domains(gathering, registry);
+		collect_domains(collection, registry);
 	if (!(poll->skips & DY_SKIP_DOCUMENT))
-		gather_document(gathering, &environment->document,
-				dy_environment_name(i));
-	qsort(gathering->items, gathering->count, sizeof(gathering->items[0]),
-	      compare_items);
+		collect_document(collection, &environment->document,
+				 dy_environment_name(i));
+	qsort(collection->items, collection->count,
+	      sizeof(collection->items[0]), compare_items);
 }
 
-/* Whether the poller has an image fetched in place of the first deltas. */
+/* Returns whether the poller fetches an image instead of the first deltas. */
 static int starts_from_image(const dy_poll_t *poll)
 {
 	return !poll->state_version && (poll->skips & DY_SKIP_START);
@@ -371,10 +380,10 @@
 				  dy_poll_result_t *result)
 {
 	const dy_registry_member_t *member = find_poller(registry, poll);
-	int homeless =
+	int without_service =
 		poll->info.kind == DY_MEMBER_AGENT && !*poll->info.service;
-	uint64_t version = homeless ? 0 : poll->state_version;
-	gathering_t gathering;
+	uint64_t version = without_service ? 0 : poll->state_version;
+	collection_t collection;
 	unsigned i;
 	unsigned n;
 
@@ -386,23 +395,24 @@
 		result->more = 1;
 		return;
 	}
-	gather(registry, poll, version, &gathering);
-	n = cut(&gathering);
+	collect(registry, poll, version, &collection);
+	n = count_fitting_items(&collection);
 	for (i = 0; i < n; i++)
-		result->deltas.deltas_val[i] = gathering.items[i].delta;
+		result->deltas.deltas_val[i] = collection.items[i].delta;
 	result->deltas.deltas_len = n;
-	result->more = n < gathering.count || gathering.upto != UINT64_MAX;
-	if (homeless)
+	result->more =
+		n < collection.count || collection.scanned_index != UINT64_MAX;
+	if (without_service)
 		result->state_version = 0;
-	else if (n < gathering.count)
-		result->state_version = gathering.items[n - 1].changed;
+	else if (n < collection.count)
+		result->state_version = collection.items[n - 1].changed;
 	else if (result->more)
-		result->state_version = gathering.upto;
+		result->state_version = collection.scanned_index;
 	else
 		result->state_version = registry->index;
 }
 
-static void show_keys(const dy_registry_t *registry, GArray *deltas)
+static void append_keys(const dy_registry_t *registry, GArray *deltas)
 {
 	dy_delta_t delta = { .kind = DY_DELTA_KEY };
 	unsigned i;
@@ -413,14 +423,14 @@
 	}
 }
 
-/* Those that were readmitted too: a member that joins anew held them. */
-static void show_domains(const dy_registry_t *registry, GArray *deltas)
+/* Includes readmitted domains: a member that rejoins may hold them. */
+static void append_domains(const dy_registry_t *registry, GArray *deltas)
 {
 	dy_delta_t delta = { 0 };
 	unsigned i;
 
 	for (i = 0; i < registry->domain_count; i++) {
-		registry_show_domain(&registry->domains[i], &delta);
+		registry_fill_domain(&registry->domains[i], &delta);
 		g_array_append_val(deltas, delta);
 	}
 }
@@ -435,18 +445,18 @@
 
 	DY_LIST_EACH(pos, &own->members)
 	{
-		member = by_link(pos, 0);
+		member = member_by_link(pos, 0);
 		if (member->kind != DY_MEMBER_AGENT ||
 		    !dy_member_is_live(member))
 			continue;
 		delta.kind = DY_DELTA_MEMBER;
-		registry_show_member(member, &delta.dy_delta_t_u.member);
+		registry_fill_member(member, &delta.dy_delta_t_u.member);
 		g_array_append_val(deltas, delta);
 	}
-	show_keys(registry, deltas);
-	show_domains(registry, deltas);
+	append_keys(registry, deltas);
+	append_domains(registry, deltas);
 	if (!own->document.number)
 		return;
-	show_document(&own->document, dy_environment_name(environment), &delta);
+	fill_document(&own->document, dy_environment_name(environment), &delta);
 	g_array_append_val(deltas, delta);
 }
--- a/src/version/registry_private.h
+++ b/src/version/registry_private.h
@@ -5,35 +5,35 @@
 
 #include "damaskyard/registry.h"
 
-#define REQUEST_BYTES 16
+#define REQUEST_ID_BYTES 16
 
-/* Bytes of a document, whole or as far as its pages have come. */
+/* A document's bytes, complete or partly uploaded. */
 typedef struct content {
 	dy_list_t link; /* oldest first */
 	uint8_t digest[DY_DIGEST_BYTES];
 	uint32_t size;
-	uint32_t have;
+	uint32_t received_bytes;
 	uint8_t *bytes;
-	int checked; /* its digest is right and it is a document */
-	char *fault; /* why it is not one */
+	int validated; /* complete, and the digest matches */
+	char *error;   /* why it is not a valid document, or NULL */
 } content_t;
 
 /* The agents of one service in one environment. */
 typedef struct service {
 	dy_list_t members; /* ordered by changed */
-	char *name;	   /* shared string; key of the table */
+	char *name;	   /* interned; the key in the table */
 } service_t;
 
 typedef struct environment {
 	dy_registry_document_t document;
 	dy_list_t members; /* all records, ordered by changed */
-	dy_list_t gone;	   /* LEFT and DEAD, oldest first */
-	unsigned gone_count;
+	dy_list_t ended;   /* LEFT and DEAD, oldest first */
+	unsigned ended_count;
 	GHashTable *services; /* name to service_t */
 } environment_t;
 
 typedef struct answer {
-	uint8_t request[REQUEST_BYTES];
+	uint8_t request[REQUEST_ID_BYTES];
 	dy_change_result_t result;
 } answer_t;
 
@@ -43,11 +43,11 @@
 	dy_registry_callbacks_t callbacks;
 	uint64_t index;
 	uint64_t now_ms;
-	/* Changes of forgotten records up to here are no longer told. */
-	uint64_t forgotten;
+	/* Polls are no longer told of dropped records changed up to here. */
+	uint64_t forgotten_index;
 	environment_t environments[DY_ENVIRONMENTS];
-	GHashTable *members; /* id to newest record, a set */
-	dy_list_t live;	     /* longest unheard first */
+	GHashTable *members; /* id to newest record */
+	dy_list_t live;	     /* least recent poll first */
 	dy_list_t suspect;   /* longest suspect first */
 	dy_list_t contents;
 	uint8_t tried[DY_REGISTRY_TRIED_MAX][DY_DIGEST_BYTES];
@@ -56,74 +56,88 @@
 	unsigned domain_count;
 	dy_registry_key_t keys[KEYS_MAX];
 	unsigned key_count;
-	uint32_t last_key;
+	uint32_t last_key_id;
 	GHashTable *answers_by_request;
 	GQueue *answers; /* oldest first */
 };
 
-void registry_tell(const dy_registry_t *registry, dy_registry_event_t event,
-		   const char *environment, const char *name, uint64_t number);
+/* Calls the event callback, if there is one. */
+void registry_emit_event(const dy_registry_t *registry,
+			 dy_registry_event_t event, const char *environment,
+			 const char *name, uint64_t number);
 
 /* registry_members.c */
-void registry_join(dy_registry_t *registry, const dy_member_join_t *join);
-void registry_update(dy_registry_t *registry, const dy_member_update_t *update);
-void registry_mark(dy_registry_t *registry, const dy_member_mark_t *mark);
+void registry_apply_join(dy_registry_t *registry, const dy_member_join_t *join);
+void registry_apply_update(dy_registry_t *registry,
+			   const dy_member_update_t *update);
+void registry_apply_mark(dy_registry_t *registry, const dy_member_mark_t *mark);
 /*
- * Whether info is of a process that was started in place of member's: it is
- * bound to the same address, which two that run at once cannot be, and its
- * boot, which begins with the time of its start, is greater. Such a one need
- * not wait for the lease to run out.
+ * Returns whether info belongs to a restart of the member's process: it is
+ * bound to the same address, which two running processes cannot be, and its
+ * boot number, which begins with the start time, is greater. A restart need
+ * not wait until the old lease expires.
  */
-int registry_is_successor(const dy_registry_member_t *member,
-			  const dy_member_info_t *info, uint64_t boot);
-void registry_kill(dy_registry_t *registry, dy_registry_member_t *member);
+int registry_is_restart(const dy_registry_member_t *member,
+			const dy_member_info_t *info, uint64_t boot);
+/* Ends a live member as DEAD. */
+void registry_declare_dead(dy_registry_t *registry,
+			   dy_registry_member_t *member);
 void registry_drop_members(dy_registry_t *registry);
-/* Put a record that a snapshot held behind all others. */
-void registry_append_member(dy_registry_t *registry,
-			    const dy_saved_member_t *saved);
-/* Free a record that stands in no list. */
+/* Appends a record of a snapshot. */
+void registry_restore_member(dy_registry_t *registry,
+			     const dy_saved_member_t *saved);
+/* Frees a record that is in no list. */
 void registry_free_member(dy_registry_member_t *member);
-/* Whether info may stand in the state: a known kind, names and all. */
+/* Returns whether info is valid: kind, environment, name, port, service. */
 int registry_info_is_valid(const dy_member_info_t *info);
-/* Move a member to the list that its state asks for, stamped now. */
-void registry_stamp(dy_registry_t *registry, dy_registry_member_t *member);
-/* The message form of a record; points into it. */
-void registry_show_member(const dy_registry_member_t *member,
-			  dy_member_t *shown);
-/* A record of an environment and name, of either kind; -1 if two have it. */
+/* Starts a new lease: moves the member to the end of its state's list. */
+void registry_refresh_lease(dy_registry_t *registry,
+			    dy_registry_member_t *member);
+/* Fills the message form of a record; it points into the record. */
+void registry_fill_member(const dy_registry_member_t *member, dy_member_t *out);
+/*
+ * Finds the live members with a name, in one environment or, if that is empty,
+ * in all. Returns 1 with *found set, 0 if there is none, or -1 if there are
+ * several.
+ */
 int registry_find_named(const dy_registry_t *registry, const char *environment,
 			const char *name, dy_registry_member_t **found);
 
 /* registry_contents.c */
+/* Finds a content by digest, complete or not; NULL if there is none. */
 content_t *registry_find_content(const dy_registry_t *registry,
 				 const uint8_t *digest);
 void registry_add_page(dy_registry_t *registry, const dy_content_page_t *page);
 void registry_drop_contents(dy_registry_t *registry);
+/* Drops the oldest staged contents beyond DY_REGISTRY_STAGED_MAX. */
 void registry_trim_contents(dy_registry_t *registry);
-void registry_try_content(dy_registry_t *registry, const uint8_t *digest);
+void registry_mark_tried(dy_registry_t *registry, const uint8_t *digest);
 
 /* registry_changes.c */
-void registry_change(dy_registry_t *registry, const dy_operator_change_t *args);
+void registry_apply_change(dy_registry_t *registry,
+			   const dy_operator_change_t *args);
 void registry_keep_answer(dy_registry_t *registry, const char *request,
 			  const dy_change_result_t *result);
 void registry_drop_answers(dy_registry_t *registry);
 
 /* registry_domains.c */
-/* Evacuate or readmit. Returns 0 if there is no room for another record. */
+/* Evacuates or readmits a domain. Returns 0 if the table is full. */
 int registry_change_domain(dy_registry_t *registry, const dy_change_t *change);
-/* The message form of a record; points into it. */
-void registry_show_domain(const dy_registry_domain_t *domain,
+/* Fills the message form of a record; it points into the record. */
+void registry_fill_domain(const dy_registry_domain_t *domain,
 			  dy_delta_t *delta);
-/* Put a record that a snapshot held; -1 if there is no room. */
-int registry_append_domain(dy_registry_t *registry,
-			   const dy_saved_domain_t *saved);
+/* Appends a record of a snapshot. Returns 0, or -1 if the table is full. */
+int registry_restore_domain(dy_registry_t *registry,
+			    const dy_saved_domain_t *saved);
 
 /* registry_keys.c */
-/* Whether the newest key does not sign yet. */
-int registry_key_waits(const dy_registry_t *registry);
-/* Whether it was taken; else there is no room or an earlier one waits. */
+/* Returns whether the newest key does not sign yet. */
+int registry_has_pending_key(const dy_registry_t *registry);
+/* Returns 0 if too many keys are in use or an earlier one is pending. */
 int registry_add_key(dy_registry_t *registry, const char *salt);
-void registry_step_key(dy_registry_t *registry, const dy_key_step_t *step);
+void registry_apply_key_step(dy_registry_t *registry,
+			     const dy_key_step_t *step);
+/* Aborts unless exactly one key is active, or there is none. */
 void registry_check_keys(const dy_registry_t *registry);
 
 #endif
--- a/src/version/registry_snapshot.c
+++ b/src/version/registry_snapshot.c
@@ -1,5 +1,6 @@
 /*
- * The state as a run of records, each a length and an XDR dy_saved_t.
+ * Snapshots of the registry: a sequence of records, each a 4-byte length and
+ * an XDR-encoded dy_saved_t.
  */
 
 #include <string.h>
@@ -9,8 +10,8 @@
 
 #include "registry_private.h"
 
-/* A page of content and what stands around it. */
-#define RECORD_BYTES (DY_CONTENT_PAGE_BYTES + 1024)
+/* A page of content with its headers. */
+#define RECORD_MAX_BYTES (DY_CONTENT_PAGE_BYTES + 1024)
 
 typedef struct writer {
 	int (*add)(void *context, const void *data, size_t size);
@@ -26,7 +27,7 @@
 
 	if (writer->failed)
 		return;
-	xdrmem_create(&xdrs, writer->buffer, RECORD_BYTES, XDR_ENCODE);
+	xdrmem_create(&xdrs, writer->buffer, RECORD_MAX_BYTES, XDR_ENCODE);
 	if (!xdr_dy_saved_t(&xdrs, saved)) {
 		writer->failed = 1;
 		return;
@@ -44,8 +45,8 @@
 
 	head->format = DY_REGISTRY_FORMAT;
 	head->index = registry->index;
-	head->forgotten = registry->forgotten;
-	head->last_key = registry->last_key;
+	head->forgotten = registry->forgotten_index;
+	head->last_key = registry->last_key_id;
 	write_record(writer, &saved);
 }
 
@@ -57,11 +58,11 @@
 
 	memcpy(page->digest, content->digest, DY_DIGEST_BYTES);
 	page->size = content->size;
-	for (offset = 0; offset < content->have;
+	for (offset = 0; offset < content->received_bytes;
 	     offset += DY_CONTENT_PAGE_BYTES) {
 		page->offset = offset;
 		page->bytes.bytes_val = (char *)content->bytes + offset;
-		page->bytes.bytes_len = MIN(content->have - offset,
+		page->bytes.bytes_len = MIN(content->received_bytes - offset,
 					    (uint32_t)DY_CONTENT_PAGE_BYTES);
 		write_record(writer, &saved);
 	}
@@ -136,7 +137,7 @@
 	dy_saved_t saved = { .kind = DY_SAVED_MEMBER };
 	dy_saved_member_t *out = &saved.dy_saved_t_u.member;
 
-	registry_show_member(member, &out->member);
+	registry_fill_member(member, &out->member);
 	out->boot = member->boot;
 	out->changed = member->changed;
 	out->drain = member->drain;
@@ -150,7 +151,7 @@
 	const answer_t *answer = data;
 
 	memcpy(saved.dy_saved_t_u.answer.request, answer->request,
-	       REQUEST_BYTES);
+	       REQUEST_ID_BYTES);
 	saved.dy_saved_t_u.answer.result = answer->result;
 	write_record(context, &saved);
 }
@@ -163,7 +164,7 @@
 	writer_t writer = { .add = add, .context = context };
 	dy_list_t *pos;
 
-	writer.buffer = g_malloc(RECORD_BYTES);
+	writer.buffer = g_malloc(RECORD_MAX_BYTES);
 	write_head(&writer, registry);
 	write_documents(&writer, registry);
 	DY_LIST_EACH(pos, &registry->contents)
@@ -189,11 +190,11 @@
 		memset(&registry->environments[i].document, 0,
 		       sizeof(registry->environments[i].document));
 	registry->index = 0;
-	registry->forgotten = 0;
+	registry->forgotten_index = 0;
 	registry->tried_count = 0;
 	registry->domain_count = 0;
 	registry->key_count = 0;
-	registry->last_key = 0;
+	registry->last_key_id = 0;
 }
 
 static int load_head(dy_registry_t *registry, const dy_saved_head_t *head)
@@ -201,8 +202,8 @@
 	if (head->format != DY_REGISTRY_FORMAT)
 		return -1;
 	registry->index = head->index;
-	registry->forgotten = head->forgotten;
-	registry->last_key = head->last_key;
+	registry->forgotten_index = head->forgotten;
+	registry->last_key_id = head->last_key;
 	return 0;
 }
 
@@ -252,12 +253,12 @@
 	    saved->member.state < DY_MEMBER_JOINING ||
 	    saved->member.state > DY_MEMBER_DEAD)
 		return -1;
-	registry_append_member(registry, saved);
+	registry_restore_member(registry, saved);
 	return 0;
 }
 
-/* Returns 1 at the last record, 0 at any other, -1 if it cannot stand. */
-static int load_saved(dy_registry_t *registry, const dy_saved_t *saved)
+/* Returns 1 for the last record, 0 for any other, -1 for an invalid one. */
+static int load_record_body(dy_registry_t *registry, const dy_saved_t *saved)
 {
 	switch (saved->kind) {
 	case DY_SAVED_HEAD:
@@ -279,8 +280,8 @@
 				     &saved->dy_saved_t_u.answer.result);
 		return 0;
 	case DY_SAVED_DOMAIN:
-		return registry_append_domain(registry,
-					      &saved->dy_saved_t_u.domain);
+		return registry_restore_domain(registry,
+					       &saved->dy_saved_t_u.domain);
 	case DY_SAVED_END:
 		return 1;
 	}
@@ -293,7 +294,7 @@
 	char *buffer;
 } reader_t;
 
-static int read_whole(reader_t *reader, void *data, size_t size)
+static int read_exactly(reader_t *reader, void *data, size_t size)
 {
 	size_t have = 0;
 	int n;
@@ -315,14 +316,14 @@
 	int result = -1;
 	XDR xdrs;
 
-	if (read_whole(reader, &len, sizeof(len)))
+	if (read_exactly(reader, &len, sizeof(len)))
 		return -1;
 	len = ntohl(len);
-	if (len > RECORD_BYTES || read_whole(reader, reader->buffer, len))
+	if (len > RECORD_MAX_BYTES || read_exactly(reader, reader->buffer, len))
 		return -1;
 	xdrmem_create(&xdrs, reader->buffer, len, XDR_DECODE);
 	if (xdr_dy_saved_t(&xdrs, &saved) && xdr_getpos(&xdrs) == len)
-		result = load_saved(registry, &saved);
+		result = load_record_body(registry, &saved);
 	xdr_free((xdrproc_t)xdr_dy_saved_t, (char *)&saved);
 	return result;
 }
@@ -335,7 +336,7 @@
 	int result;
 
 	clear_registry(registry);
-	reader.buffer = g_malloc(RECORD_BYTES);
+	reader.buffer = g_malloc(RECORD_MAX_BYTES);
 	do {
 		result = load_record(registry, &reader);
 	} while (!result);
--- a/tests/fake_registry.c
+++ b/tests/fake_registry.c
@@ -50,20 +50,19 @@
 {
 	dy_command_t command;
 	dy_status_t status;
-	dy_poll_action_t judgement;
+	dy_poll_action_t action;
 
-	judgement =
-		dy_registry_evaluate_poll(registry, poll, &command, &status);
-	if (judgement == DY_POLL_PROPOSE) {
+	action = dy_registry_evaluate_poll(registry, poll, &command, &status);
+	if (action == DY_POLL_PROPOSE) {
 		fake_registry_apply(registry, &command);
 		if (proposed)
 			++*proposed;
-		judgement = dy_registry_evaluate_poll(registry, poll, &command,
-						      &status);
+		action = dy_registry_evaluate_poll(registry, poll, &command,
+						   &status);
 	}
-	if (judgement == DY_POLL_REFUSE)
+	if (action == DY_POLL_REFUSE)
 		return status;
-	FAKE_REGISTRY_CHECK(judgement == DY_POLL_ANSWER);
+	FAKE_REGISTRY_CHECK(action == DY_POLL_ANSWER);
 	dy_registry_renew_lease(registry,
 				dy_member_id(poll->info.environment,
 					     poll->info.kind, poll->info.name),
@@ -91,7 +90,7 @@
 	size_t at;
 } reading_t;
 
-/* Gives a few bytes at a time, as pieces of a snapshot come. */
+/* Returns a few bytes at a time, like the chunks of a snapshot. */
 static int read_bytes(void *context, void *data, size_t size)
 {
 	reading_t *reading = context;
--- a/tests/fake_registry.h
+++ b/tests/fake_registry.h
@@ -1,7 +1,7 @@
 #ifndef FAKE_REGISTRY_H
 #define FAKE_REGISTRY_H
 
-/* The registry driven as a leader would. Whatever differs aborts. */
+/* Drives a registry as a leader does. A failed check aborts. */
 
 #include <stddef.h>
 #include <stdint.h>
@@ -21,28 +21,30 @@
 		}                                                          \
 	} while (0)
 
-/* Encode command and apply it at the next index. */
+/* Encode a command and apply it at the next index. */
 void fake_registry_apply(dy_registry_t *registry, const dy_command_t *command);
 
-/* SHA-256 of bytes. */
+/* Compute the SHA-256 digest of bytes. */
 void fake_registry_digest(const char *bytes, size_t size,
 			  uint8_t digest[DY_DIGEST_BYTES]);
 
-/* Apply content of size bytes, whole, and set its digest. */
+/* Apply all pages of a content of size bytes, and set digest. */
 void fake_registry_put(dy_registry_t *registry, const char *bytes, size_t size,
 		       uint8_t digest[DY_DIGEST_BYTES]);
 
 /*
- * Judge poll and, if it asks for it, apply what it proposes; then renew its
- * lease and fill result, whose deltas need DY_DELTAS_MAX. Returns the status
- * of the answer; *proposed counts applied commands, may be NULL.
+ * Evaluate a poll and apply the command that it proposes, if any. Then renew
+ * the lease and fill result, whose deltas need capacity for DY_DELTAS_MAX.
+ * Returns the status of the answer. Adds applied commands to *proposed, which
+ * may be NULL.
  */
 dy_status_t fake_registry_poll(dy_registry_t *registry, const dy_poll_t *poll,
 			       dy_poll_result_t *result, unsigned *proposed);
 
-/* The state's bytes; free with g_byte_array_unref(). */
+/* Returns a snapshot, to be freed with g_byte_array_unref(). */
 GByteArray *fake_registry_save(const dy_registry_t *registry);
-/* A registry loaded from them, or NULL if they are refused. */
+
+/* Create a registry from a snapshot. Returns NULL if it is not valid. */
 dy_registry_t *fake_registry_load(const dy_registry_callbacks_t *callbacks,
 				  const GByteArray *saved);
 
--- a/tests/fake_registry_actors.c
+++ b/tests/fake_registry_actors.c
@@ -6,7 +6,7 @@
 
 static const char *const service_names[] = { "", "readings", "maps" };
 
-/* Even names are agents, odd ones balancers; the last two are production. */
+/* Even names are agents, odd ones balancers; the last two in production. */
 static dy_member_kind_t kind_of(unsigned name)
 {
 	return name % 2 ? DY_MEMBER_BALANCER : DY_MEMBER_AGENT;
@@ -24,19 +24,19 @@
 	return names[name];
 }
 
-truth_t *fake_actor_truth(fake_run_t *run, unsigned name)
+expected_member_t *fake_actor_expected(fake_run_t *run, unsigned name)
 {
 	unsigned i;
 
-	for (i = run->truth_count; i > 0; i--)
-		if (run->truths[i - 1].name == name)
-			return run->truths[i - 1].forgotten
+	for (i = run->member_count; i > 0; i--)
+		if (run->members[i - 1].name == name)
+			return run->members[i - 1].forgotten
 				       ? NULL
-				       : &run->truths[i - 1];
+				       : &run->members[i - 1];
 	return NULL;
 }
 
-int fake_actor_is_over(dy_member_state_t state)
+int fake_actor_is_ended(dy_member_state_t state)
 {
 	return state == DY_MEMBER_LEFT || state == DY_MEMBER_DEAD;
 }
@@ -51,7 +51,7 @@
 	poll->info.domain = "d1";
 	poll->info.service = (char *)service_names[actor->service];
 	poll->info.labels = "";
-	poll->info.address.port = actor->place;
+	poll->info.address.port = actor->port;
 	poll->boot = actor->boot;
 	poll->incarnation = actor->incarnation;
 	poll->state_version = actor->version;
@@ -59,53 +59,53 @@
 	poll->state = actor->state;
 }
 
-/* What a poll must be answered with, and what it makes of the truth. */
+/* Returns the expected status of a poll, and updates the oracle. */
 static dy_status_t expect_poll(fake_run_t *run, const actor_t *actor,
 			       uint64_t index)
 {
-	truth_t *truth = fake_actor_truth(run, actor->name);
-	int same = truth && truth->boot == actor->boot;
+	expected_member_t *member = fake_actor_expected(run, actor->name);
+	int same = member && member->boot == actor->boot;
 
 	if (actor->incarnation &&
-	    (!same || truth->incarnation != actor->incarnation))
+	    (!same || member->incarnation != actor->incarnation))
 		return DY_STATUS_SUPERSEDED;
-	if (actor->incarnation && fake_actor_is_over(truth->state))
-		return truth->state == DY_MEMBER_LEFT &&
+	if (actor->incarnation && fake_actor_is_ended(member->state))
+		return member->state == DY_MEMBER_LEFT &&
 				       actor->state == DY_MEMBER_LEFT
 			       ? DY_STATUS_OK
 			       : DY_STATUS_SUPERSEDED;
-	if (same && !fake_actor_is_over(truth->state)) {
-		if (truth->service && truth->service != actor->service)
+	if (same && !fake_actor_is_ended(member->state)) {
+		if (member->service && member->service != actor->service)
 			return DY_STATUS_MALFORMED;
-		truth->state = actor->state;
-		truth->service = actor->service;
+		member->state = actor->state;
+		member->service = actor->service;
 		return DY_STATUS_OK;
 	}
-	/* A later start at the same address is the same machine's. */
-	if (truth && !fake_actor_is_over(truth->state) &&
-	    truth->state != DY_MEMBER_SUSPECT &&
-	    !(truth->place == actor->place && actor->boot > truth->boot))
+	/* A later start at the same address is a restart. */
+	if (member && !fake_actor_is_ended(member->state) &&
+	    member->state != DY_MEMBER_SUSPECT &&
+	    !(member->port == actor->port && actor->boot > member->boot))
 		return DY_STATUS_NAME_TAKEN;
-	if (same && truth->state == DY_MEMBER_LEFT &&
+	if (same && member->state == DY_MEMBER_LEFT &&
 	    actor->state == DY_MEMBER_LEFT)
 		return DY_STATUS_OK;
-	if (actor->version && actor->version < run->forgotten)
+	if (actor->version && actor->version < run->forgotten_index)
 		return DY_STATUS_SUPERSEDED;
-	if (truth && !fake_actor_is_over(truth->state))
-		truth->state = DY_MEMBER_DEAD;
-	if (run->truth_count == SEEN_MAX)
+	if (member && !fake_actor_is_ended(member->state))
+		member->state = DY_MEMBER_DEAD;
+	if (run->member_count == INCARNATIONS_MAX)
 		return DY_STATUS_UNAVAILABLE;
-	truth = &run->truths[run->truth_count++];
-	truth->name = actor->name;
-	truth->boot = actor->boot;
-	truth->place = actor->place;
-	truth->incarnation = index;
-	truth->state = actor->state;
-	truth->service = actor->service;
+	member = &run->members[run->member_count++];
+	member->name = actor->name;
+	member->boot = actor->boot;
+	member->port = actor->port;
+	member->incarnation = index;
+	member->state = actor->state;
+	member->service = actor->service;
 	return DY_STATUS_OK;
 }
 
-static void see_member(actor_t *actor, const dy_member_t *member)
+static void update_view(actor_t *actor, const dy_member_t *member)
 {
 	uint64_t incarnation = member->incarnation;
 
@@ -121,8 +121,8 @@
 			     GINT_TO_POINTER(member->state));
 }
 
-static void see_result(const fake_run_t *run, actor_t *actor,
-		       const dy_poll_result_t *result)
+static void check_result(const fake_run_t *run, actor_t *actor,
+			 const dy_poll_result_t *result)
 {
 	dy_environment_t environment = fake_actor_environment(actor->name);
 	const dy_delta_t *delta;
@@ -136,7 +136,7 @@
 	for (i = 0; i < result->deltas.deltas_len; i++) {
 		delta = &result->deltas.deltas_val[i];
 		if (delta->kind == DY_DELTA_MEMBER)
-			see_member(actor, &delta->dy_delta_t_u.member);
+			update_view(actor, &delta->dy_delta_t_u.member);
 		if (delta->kind != DY_DELTA_DOCUMENT)
 			continue;
 		FAKE_REGISTRY_CHECK(delta->dy_delta_t_u.document.number >=
@@ -148,32 +148,32 @@
 				    run->numbers[environment]);
 }
 
-static int in_view(const actor_t *actor, const truth_t *truth)
+static int is_visible(const actor_t *actor, const expected_member_t *member)
 {
-	return !truth->forgotten && kind_of(truth->name) == DY_MEMBER_AGENT &&
-	       fake_actor_environment(truth->name) ==
+	return !member->forgotten && kind_of(member->name) == DY_MEMBER_AGENT &&
+	       fake_actor_environment(member->name) ==
 		       fake_actor_environment(actor->name) &&
 	       (kind_of(actor->name) == DY_MEMBER_BALANCER ||
-		(actor->service && truth->service == actor->service));
+		(actor->service && member->service == actor->service));
 }
 
-/* An actor that is up to date sees exactly what the oracle says it should. */
+/* The view of an actor that is up to date must match the oracle. */
 static void check_view(const fake_run_t *run, const actor_t *actor)
 {
-	const truth_t *truth;
+	const expected_member_t *member;
 	unsigned state;
 	unsigned i;
 
-	for (i = 0; i < run->truth_count; i++) {
-		truth = &run->truths[i];
+	for (i = 0; i < run->member_count; i++) {
+		member = &run->members[i];
 		state = GPOINTER_TO_INT(
-			g_hash_table_lookup(actor->view, &truth->incarnation));
-		if (in_view(actor, truth))
-			FAKE_REGISTRY_CHECK(state == (unsigned)truth->state);
-		/* What is forgotten was told to be over, or never told. */
-		if (truth->forgotten)
+			g_hash_table_lookup(actor->view, &member->incarnation));
+		if (is_visible(actor, member))
+			FAKE_REGISTRY_CHECK(state == (unsigned)member->state);
+		/* A dropped record was received as ended, or never. */
+		if (member->forgotten)
 			FAKE_REGISTRY_CHECK(!state ||
-					    fake_actor_is_over(state));
+					    fake_actor_is_ended(state));
 	}
 }
 
@@ -185,7 +185,7 @@
 	dy_status_t status;
 	dy_poll_t args;
 
-	if (!actor->running || run->truth_count == SEEN_MAX)
+	if (!actor->running || run->member_count == INCARNATIONS_MAX)
 		return;
 	fill_poll(actor, &args);
 	expected =
@@ -195,7 +195,7 @@
 	FAKE_REGISTRY_CHECK(status == expected);
 	if (status == DY_STATUS_OK) {
 		run->effects++;
-		see_result(run, actor, &result);
+		check_result(run, actor, &result);
 		if (!result.more)
 			check_view(run, actor);
 	} else if (status == DY_STATUS_SUPERSEDED) {
@@ -207,7 +207,7 @@
 {
 	actor->running = 1;
 	actor->boot = run->next_boot++;
-	actor->place = 1000 + (unsigned)(actor - run->actors);
+	actor->port = 1000 + (unsigned)(actor - run->actors);
 	actor->incarnation = 0;
 	actor->version = 0;
 	actor->document_seen = 0;
@@ -218,7 +218,7 @@
 	g_hash_table_remove_all(actor->view);
 }
 
-void fake_actor_move(actor_t *actor, unsigned choice)
+void fake_actor_change_state(actor_t *actor, unsigned choice)
 {
 	if (!actor->running)
 		return;
@@ -231,31 +231,32 @@
 
 static void check_mark(fake_run_t *run, const dy_member_mark_t *mark)
 {
-	truth_t *truth = NULL;
+	expected_member_t *member = NULL;
 	unsigned i;
 
-	for (i = 0; i < run->truth_count; i++)
-		if (run->truths[i].incarnation == mark->incarnation)
-			truth = &run->truths[i];
-	FAKE_REGISTRY_CHECK(truth && !truth->forgotten);
+	for (i = 0; i < run->member_count; i++)
+		if (run->members[i].incarnation == mark->incarnation)
+			member = &run->members[i];
+	FAKE_REGISTRY_CHECK(member && !member->forgotten);
 	if (mark->mark == DY_MARK_SUSPECT) {
-		FAKE_REGISTRY_CHECK(!fake_actor_is_over(truth->state));
-		truth->state = DY_MEMBER_SUSPECT;
+		FAKE_REGISTRY_CHECK(!fake_actor_is_ended(member->state));
+		member->state = DY_MEMBER_SUSPECT;
 	} else if (mark->mark == DY_MARK_DEAD) {
-		FAKE_REGISTRY_CHECK(truth->state == DY_MEMBER_SUSPECT);
-		truth->state = DY_MEMBER_DEAD;
+		FAKE_REGISTRY_CHECK(member->state == DY_MEMBER_SUSPECT);
+		member->state = DY_MEMBER_DEAD;
 	} else {
-		FAKE_REGISTRY_CHECK(fake_actor_is_over(truth->state));
-		truth->forgotten = 1;
+		FAKE_REGISTRY_CHECK(fake_actor_is_ended(member->state));
+		member->forgotten = 1;
 	}
 }
 
-static void note_forgotten(const dy_registry_member_t *member, fake_run_t *run,
-			   const dy_member_mark_t *mark)
+static void record_forgotten(const dy_registry_member_t *member,
+			     fake_run_t *run, const dy_member_mark_t *mark)
 {
 	if (mark->mark == DY_MARK_FORGET &&
 	    member->incarnation == mark->incarnation)
-		run->forgotten = MAX(run->forgotten, member->changed);
+		run->forgotten_index =
+			MAX(run->forgotten_index, member->changed);
 }
 
 typedef struct forgetting {
@@ -263,14 +264,14 @@
 	const dy_member_mark_t *mark;
 } forgetting_t;
 
-static void look_at(void *context, const dy_registry_member_t *member)
+static void on_member(void *context, const dy_registry_member_t *member)
 {
 	forgetting_t *forgetting = context;
 
-	note_forgotten(member, forgetting->run, forgetting->mark);
+	record_forgotten(member, forgetting->run, forgetting->mark);
 }
 
-static void review_leases(fake_run_t *run)
+static void apply_due_marks(fake_run_t *run)
 {
 	const dy_lease_times_t times = { 3000, 60000 };
 	dy_command_t command = { .kind = DY_COMMAND_MARK };
@@ -280,18 +281,18 @@
 	dy_registry_set_clock(run->registry, run->now_ms);
 	while (dy_registry_next_mark(run->registry, &times, mark)) {
 		check_mark(run, mark);
-		dy_registry_each_member(run->registry, look_at, &forgetting);
+		dy_registry_each_member(run->registry, on_member, &forgetting);
 		fake_registry_apply(run->registry, &command);
 		run->effects++;
 	}
 }
 
-void fake_actor_pass_time(fake_run_t *run, unsigned ms)
+void fake_actor_advance_time(fake_run_t *run, unsigned ms)
 {
 	uint64_t end_ms = run->now_ms + ms;
 
 	while (run->now_ms < end_ms) {
 		run->now_ms = MIN(run->now_ms + 1000, end_ms);
-		review_leases(run);
+		apply_due_marks(run);
 	}
 }
--- a/tests/fake_registry_run.c
+++ b/tests/fake_registry_run.c
@@ -7,7 +7,7 @@
 #include "fake_registry.h"
 #include "fake_registry_actors.h"
 
-static const char *bytes_of(unsigned document)
+static const char *document_bytes(unsigned document)
 {
 	static const char *const bytes[DOCUMENTS] = { "one", "two", "three",
 						      "four" };
@@ -28,7 +28,8 @@
 			g_int64_hash, g_int64_equal, g_free, NULL);
 	}
 	for (i = 0; i < DOCUMENTS; i++)
-		fake_registry_digest(bytes_of(i), strlen(bytes_of(i)),
+		fake_registry_digest(document_bytes(i),
+				     strlen(document_bytes(i)),
 				     run->digests[i]);
 	return run;
 }
@@ -48,8 +49,6 @@
 	return run->effects;
 }
 
-/* Operators. */
-
 static void fill_request(const fake_run_t *run, unsigned request, char *out)
 {
 	memset(out, 0, 16);
@@ -57,9 +56,9 @@
 	memcpy(out + 4, &run->request_salt[request], 4);
 }
 
-/* The oracle's own decision, before the registry makes it. */
-static void decide(fake_run_t *run, const dy_change_t *change,
-		   unsigned document, decided_t *decided)
+/* Computes the expected answer before the registry decides. */
+static void expect_change(fake_run_t *run, const dy_change_t *change,
+			  unsigned document, expected_answer_t *expected)
 {
 	dy_environment_t environment =
 		change->kind == DY_CHANGE_PROMOTE ? DY_PRODUCTION : DY_TRIAL;
@@ -68,24 +67,25 @@
 				   ? run->contents[DY_TRIAL]
 				   : document;
 
-	decided->known = 1;
-	decided->status = DY_STATUS_OK;
-	decided->number = current;
-	memcpy(decided->digest, run->digests[run->contents[environment]],
+	expected->known = 1;
+	expected->status = DY_STATUS_OK;
+	expected->number = current;
+	memcpy(expected->digest, run->digests[run->contents[environment]],
 	       DY_DIGEST_BYTES);
 	if (change->kind == DY_CHANGE_PROMOTE && !run->numbers[DY_TRIAL]) {
-		decided->status = DY_STATUS_NOT_FOUND;
+		expected->status = DY_STATUS_NOT_FOUND;
 	} else if (change->kind == DY_CHANGE_PROMOTE && !run->tried[content]) {
-		decided->status = DY_STATUS_NOT_TRIED;
+		expected->status = DY_STATUS_NOT_TRIED;
 	} else if (change->kind == DY_CHANGE_PROMOTE && current &&
 		   run->contents[DY_PRODUCTION] == content) {
 		return;
 	} else if (change->number && change->number != current + 1) {
-		decided->status = DY_STATUS_CONFLICT;
+		expected->status = DY_STATUS_CONFLICT;
 	} else {
-		decided->number = ++run->numbers[environment];
+		expected->number = ++run->numbers[environment];
 		run->contents[environment] = content;
-		memcpy(decided->digest, run->digests[content], DY_DIGEST_BYTES);
+		memcpy(expected->digest, run->digests[content],
+		       DY_DIGEST_BYTES);
 		run->effects++;
 	}
 }
@@ -100,15 +100,15 @@
 	dy_environment_t environment =
 		kind == DY_CHANGE_PROMOTE ? DY_PRODUCTION : DY_TRIAL;
 	const dy_change_result_t *answer;
-	decided_t *decided = &run->decided[request];
+	expected_answer_t *expected = &run->answers[request];
 	uint8_t digest[DY_DIGEST_BYTES];
 
 	if (choice[3] & 1) {
-		decided->known = 0;
+		expected->known = 0;
 		run->request_salt[request]++;
 	}
-	fake_registry_put(run->registry, bytes_of(document),
-			  strlen(bytes_of(document)), digest);
+	fake_registry_put(run->registry, document_bytes(document),
+			  strlen(document_bytes(document)), digest);
 	change->kind = kind;
 	change->operator_name = "o";
 	change->environment = kind == DY_CHANGE_SUBMIT ? "trial" : "";
@@ -119,18 +119,18 @@
 	if (kind == DY_CHANGE_PROMOTE)
 		memset(change->digest, 0, DY_DIGEST_BYTES);
 	fill_request(run, request, change->request);
-	if (!decided->known)
-		decide(run, change, document, decided);
+	if (!expected->known)
+		expect_change(run, change, document, expected);
 	fake_registry_apply(run->registry, &command);
 	answer = dy_registry_find_answer(run->registry, change->request);
 	FAKE_REGISTRY_CHECK(answer);
-	FAKE_REGISTRY_CHECK(answer->status == decided->status);
-	if (decided->status == DY_STATUS_OK ||
-	    decided->status == DY_STATUS_CONFLICT) {
-		FAKE_REGISTRY_CHECK(answer->number == decided->number);
-		if (!decided->number)
+	FAKE_REGISTRY_CHECK(answer->status == expected->status);
+	if (expected->status == DY_STATUS_OK ||
+	    expected->status == DY_STATUS_CONFLICT) {
+		FAKE_REGISTRY_CHECK(answer->number == expected->number);
+		if (!expected->number)
 			return;
-		FAKE_REGISTRY_CHECK(!memcmp(answer->digest, decided->digest,
+		FAKE_REGISTRY_CHECK(!memcmp(answer->digest, expected->digest,
 					    DY_DIGEST_BYTES));
 	}
 }
@@ -147,11 +147,11 @@
 		run->tried[content] = 1;
 }
 
-static void name_member(fake_run_t *run, dy_change_kind_t kind, unsigned name)
+static void change_member(fake_run_t *run, dy_change_kind_t kind, unsigned name)
 {
 	dy_command_t command = { .kind = DY_COMMAND_CHANGE };
 	dy_change_t *change = &command.dy_command_t_u.change.change;
-	truth_t *truth = fake_actor_truth(run, name);
+	expected_member_t *member = fake_actor_expected(run, name);
 	const dy_change_result_t *answer;
 	uint64_t index = dy_registry_index(run->registry) + 1;
 
@@ -165,14 +165,14 @@
 	fake_registry_apply(run->registry, &command);
 	answer = dy_registry_find_answer(run->registry, change->request);
 	FAKE_REGISTRY_CHECK(answer);
-	if (!truth || fake_actor_is_over(truth->state)) {
+	if (!member || fake_actor_is_ended(member->state)) {
 		FAKE_REGISTRY_CHECK(answer->status == DY_STATUS_NOT_FOUND);
 		return;
 	}
 	FAKE_REGISTRY_CHECK(answer->status == DY_STATUS_OK);
-	FAKE_REGISTRY_CHECK(answer->number == truth->incarnation);
+	FAKE_REGISTRY_CHECK(answer->number == member->incarnation);
 	if (kind == DY_CHANGE_REMOVE)
-		truth->state = DY_MEMBER_DEAD;
+		member->state = DY_MEMBER_DEAD;
 	run->effects++;
 }
 
@@ -189,8 +189,8 @@
 	run->effects++;
 }
 
-/* Nothing may tell a registry that was loaded from its snapshot apart. */
-static void reload(fake_run_t *run)
+/* A registry loaded from a snapshot must write the same snapshot. */
+static void reload_snapshot(fake_run_t *run)
 {
 	GByteArray *before = fake_registry_save(run->registry);
 	GByteArray *after;
@@ -207,7 +207,7 @@
 	g_byte_array_unref(after);
 }
 
-static void apply_noise(fake_run_t *run, const uint8_t *choice)
+static void apply_malformed(fake_run_t *run, const uint8_t *choice)
 {
 	uint8_t data[8] = { 0, 0, 0, choice[1], choice[2], choice[3], 0, 0 };
 
@@ -260,24 +260,24 @@
 		fake_actor_start(run, actor, choice[2]);
 		break;
 	case 4:
-		fake_actor_move(actor, choice[2]);
+		fake_actor_change_state(actor, choice[2]);
 		break;
 	case 5:
-		fake_actor_pass_time(run, choice[1] * choice[2]);
+		fake_actor_advance_time(run, choice[1] * choice[2]);
 		break;
 	case 6:
 		step_keys(run, choice[1]);
 		break;
 	case 7:
-		name_member(run,
-			    choice[2] % 4 ? DY_CHANGE_DRAIN : DY_CHANGE_REMOVE,
-			    choice[1] % NAMES);
+		change_member(
+			run, choice[2] % 4 ? DY_CHANGE_DRAIN : DY_CHANGE_REMOVE,
+			choice[1] % NAMES);
 		break;
 	case 8:
-		reload(run);
+		reload_snapshot(run);
 		break;
 	case 9:
-		apply_noise(run, choice);
+		apply_malformed(run, choice);
 		break;
 	default:
 		fake_actor_poll(run, actor);
--- a/tests/fake_registry_run.h
+++ b/tests/fake_registry_run.h
@@ -2,24 +2,27 @@
 #define FAKE_REGISTRY_RUN_H
 
 /*
- * A run of the registry against a simple oracle: a table of what every
- * document, member, key and request must be, kept by rules that fit on a
- * page, and for each member the state that it built up from the answers to
- * its polls. A step is decoded from bytes, so that a fuzzer or a seeded
- * generator can choose it. Whatever differs aborts.
+ * A random run of the registry, compared with a simple oracle: a table of the
+ * expected state of every document, member, key and request, and for each
+ * member the state that it built from the answers to its polls. Each step is
+ * decoded from bytes, so that a fuzzer or a seeded generator can choose it. A
+ * difference aborts.
  */
 
 #include <stdint.h>
 
 typedef struct fake_run fake_run_t;
 
+/* Create a run with an empty registry. */
 fake_run_t *fake_run_create(void);
+
+/* Free a run. */
 void fake_run_destroy(fake_run_t *run);
 
-/* Take one step, chosen by four bytes, and check everything after it. */
+/* Run the step that four bytes select, and check the whole state after it. */
 void fake_run_step(fake_run_t *run, const uint8_t choice[4]);
 
-/* Times that each of the run's kinds of step had an effect, for a test. */
+/* Returns the number of steps that had an effect. */
 unsigned fake_run_effects(const fake_run_t *run);
 
 #endif
--- a/tests/fake_user.c
+++ b/tests/fake_user.c
@@ -4,7 +4,6 @@
 
 #include "fake_registry.h"
 
-/* What a new leader holds that came up from a snapshot. */
 void fake_user_change_leader(fake_user_t *user)
 {
 	GByteArray *saved = fake_registry_save(user->registry);
@@ -36,9 +35,10 @@
 	return dy_registry_find_answer(user->registry, change->request);
 }
 
-const dy_change_result_t *fake_user_name(fake_user_t *user,
-					 dy_change_kind_t kind, uint8_t request,
-					 const char *name)
+const dy_change_result_t *fake_user_change_named(fake_user_t *user,
+						 dy_change_kind_t kind,
+						 uint8_t request,
+						 const char *name)
 {
 	dy_command_t command = { .kind = DY_COMMAND_CHANGE };
 	dy_change_t *change = &command.dy_command_t_u.change.change;
@@ -52,7 +52,7 @@
 	return dy_registry_find_answer(user->registry, change->request);
 }
 
-void fake_user_try_trial(fake_user_t *user)
+void fake_user_mark_tried(fake_user_t *user)
 {
 	dy_command_t command = { .kind = DY_COMMAND_TRIED };
 
@@ -73,7 +73,7 @@
 	poll.info.domain = "d1";
 	poll.info.service = (char *)service;
 	poll.info.labels = "tier=gold";
-	/* Another start is on another machine. */
+	/* A start with another boot number has another address. */
 	poll.info.address.port = (u_int)(4000 + boot % 1000);
 	poll.info.slots = 7;
 	poll.boot = boot;
@@ -81,7 +81,6 @@
 	return poll;
 }
 
-/* Poll, take the answer's incarnation and version, and return its status. */
 dy_status_t fake_user_poll(fake_user_t *user, dy_poll_t *poll)
 {
 	dy_status_t status;
@@ -109,8 +108,7 @@
 	fake_registry_apply(user->registry, &command);
 }
 
-/* Count the deltas of a kind in the last answer. */
-unsigned fake_user_count(const fake_user_t *user, dy_delta_kind_t kind)
+unsigned fake_user_count_deltas(const fake_user_t *user, dy_delta_kind_t kind)
 {
 	unsigned count = 0;
 	unsigned i;
--- a/tests/test_registry.c
+++ b/tests/test_registry.c
@@ -1,4 +1,7 @@
-/* Documents, operators and keys; members: test_registry_members.c. */
+/*
+ * Documents, operators' changes and keys. Members are tested in
+ * test_registry_members.c.
+ */
 
 #include "damaskyard/registry.h"
 
@@ -25,11 +28,10 @@
 }
 
 /*
- * Two operators prepare change 1 in the same minute and submit it. Both were
- * told that it is accepted, and one of the two documents is nowhere: each
- * was taken as the next number.
+ * Two operators prepare change 1 at the same time and submit it. If each were
+ * accepted as the next number, one of the two documents would be lost.
  */
-START_TEST(one_of_two_with_the_same_number_wins)
+START_TEST(accepts_one_of_two_changes_with_same_number)
 {
 	const dy_change_result_t *answer;
 
@@ -50,11 +52,11 @@
 END_TEST
 
 /*
- * An operator's answer is lost and the command sends the change again, to
- * the next leader. It is told that its own change conflicts, or the change
- * is made a second time over a colleague's newer one.
+ * The answer to an operator is lost, and the command retransmits the change to
+ * the next leader. The change must not conflict with itself, nor be applied a
+ * second time over a newer one of another operator.
  */
-START_TEST(resent_change_gets_its_first_answer)
+START_TEST(retransmitted_change_gets_first_answer)
 {
 	const dy_change_result_t *answer;
 
@@ -74,10 +76,10 @@
 END_TEST
 
 /*
- * A document goes to production that trial never ran, since somebody put a
- * newer one into trial between the trying and the promotion.
+ * Another operator submits a newer document to trial between the trial and the
+ * promotion. Production must not get a document that trial never ran.
  */
-START_TEST(production_takes_only_what_was_tried)
+START_TEST(production_accepts_only_tried_document)
 {
 	const dy_change_result_t *answer;
 
@@ -86,7 +88,7 @@
 	fake_user_change(&user, DY_CHANGE_SUBMIT, "ann", 2, 0, "one");
 	answer = fake_user_change(&user, DY_CHANGE_PROMOTE, "ann", 3, 0, NULL);
 	ck_assert_int_eq(answer->status, DY_STATUS_NOT_TRIED);
-	fake_user_try_trial(&user);
+	fake_user_mark_tried(&user);
 	fake_user_change(&user, DY_CHANGE_SUBMIT, "bob", 4, 0, "two");
 	answer = fake_user_change(&user, DY_CHANGE_PROMOTE, "ann", 5, 0, "one");
 	ck_assert_int_eq(answer->status, DY_STATUS_CONFLICT);
@@ -105,10 +107,10 @@
 END_TEST
 
 /*
- * A promotion is let through while one trial balancer still runs the older
- * document: the newer one was never in force everywhere.
+ * A promotion must wait until the last trial balancer runs the newer document;
+ * before that it was not in force everywhere.
  */
-START_TEST(in_force_counts_only_what_live_members_told)
+START_TEST(in_force_counts_reports_of_live_members)
 {
 	dy_poll_t a = fake_user_member(DY_MEMBER_BALANCER, "a", "", 1);
 	dy_poll_t b = fake_user_member(DY_MEMBER_AGENT, "b", "readings", 2);
@@ -145,10 +147,10 @@
 }
 
 /*
- * Pages of an upload are mixed up, or the document is one that no balancer
- * would take: it is accepted and every balancer drops it, or stops.
+ * Pages of two uploads are mixed, or no balancer accepts the document. If it
+ * were put in force, every balancer would drop it or stop.
  */
-START_TEST(damaged_or_wrong_content_is_refused)
+START_TEST(refuses_damaged_or_invalid_content)
 {
 	const dy_registry_callbacks_t callbacks = { .validate = check_bytes };
 	dy_command_t command = { .kind = DY_COMMAND_PAGE };
@@ -175,7 +177,7 @@
 }
 END_TEST
 
-/* A document of several pages, and many staged ones, in bounded memory. */
+/* Documents of several pages work, and staged ones use bounded memory. */
 START_TEST(contents_are_paged_and_bounded)
 {
 	char *large = g_strnfill(100000, 'x');
@@ -213,7 +215,7 @@
 }
 END_TEST
 
-/* Returns the kind of the next step that was due and was taken, or 0. */
+/* Apply the key step that is due at now_ms. Returns its kind, or 0. */
 static int step_keys(uint64_t now_ms)
 {
 	const dy_key_times_t times = { 1000, 100, 5000 };
@@ -228,10 +230,10 @@
 }
 
 /*
- * A key signs before the last agent has it, or is dropped while a paused
- * caller still holds its token: a session is refused for no fault of its own.
+ * If a key signs before every agent has it, or is dropped while a paused caller
+ * still holds its token, a valid session is refused.
  */
-START_TEST(keys_are_distributed_before_and_accepted_after)
+START_TEST(keys_are_distributed_before_use_and_retired_late)
 {
 	const dy_change_result_t *answer;
 	unsigned count;
@@ -240,7 +242,7 @@
 	ck_assert_int_eq(step_keys(1), 0);
 	ck_assert_int_eq(step_keys(1001), DY_KEY_ADD);
 	ck_assert_int_eq(step_keys(1100), 0);
-	/* A second wish meanwhile is the same rotation. */
+	/* A request during a rotation gets the same one. */
 	answer = fake_user_change(&user, DY_CHANGE_ROTATE, "ann", 1, 0, NULL);
 	ck_assert_int_eq(answer->status, DY_STATUS_OK);
 	ck_assert_uint_eq(answer->number, 2);
@@ -261,8 +263,8 @@
 }
 END_TEST
 
-/* What the last answer to a poll says of a domain; -1: nothing. */
-static int told_of(const char *domain)
+/* Returns evacuated of a domain in the last poll's answer, or -1. */
+static int last_evacuated(const char *domain)
 {
 	const dy_domain_info_t *info;
 	unsigned i;
@@ -277,67 +279,68 @@
 	return -1;
 }
 
-/* An evacuation is gone with its leader, or a member never hears of it. */
-START_TEST(evacuation_is_told_and_kept)
+/* An evacuation must survive its leader and reach every member. */
+START_TEST(evacuation_is_announced_and_survives_leader_change)
 {
 	dy_poll_t poll = fake_user_member(DY_MEMBER_BALANCER, "b1", "", 1);
 	const dy_change_result_t *answer;
 
 	poll.skips = DY_TAKES_DOMAINS;
 	fake_user_poll(&user, &poll);
-	answer = fake_user_name(&user, DY_CHANGE_EVACUATE, 1, "d1");
+	answer = fake_user_change_named(&user, DY_CHANGE_EVACUATE, 1, "d1");
 	ck_assert_int_eq(answer->status, DY_STATUS_OK);
 	fake_user_poll(&user, &poll);
-	ck_assert_int_eq(told_of("d1"), 1);
+	ck_assert_int_eq(last_evacuated("d1"), 1);
 	fake_user_poll(&user, &poll);
-	ck_assert_int_eq(told_of("d1"), -1);
+	ck_assert_int_eq(last_evacuated("d1"), -1);
 	fake_user_change_leader(&user);
 	ck_assert(dy_registry_is_evacuated(user.registry, "d1"));
 	poll.state_version = 0;
 	fake_user_poll(&user, &poll);
-	ck_assert_int_eq(told_of("d1"), 1);
-	fake_user_name(&user, DY_CHANGE_READMIT, 2, "d1");
+	ck_assert_int_eq(last_evacuated("d1"), 1);
+	fake_user_change_named(&user, DY_CHANGE_READMIT, 2, "d1");
 	fake_user_poll(&user, &poll);
-	ck_assert_int_eq(told_of("d1"), 0);
+	ck_assert_int_eq(last_evacuated("d1"), 0);
 	ck_assert(!dy_registry_is_evacuated(user.registry, "d1"));
 	ck_assert(dy_registry_has_domain(user.registry, "d1"));
 	ck_assert(!dy_registry_has_domain(user.registry, "d9"));
 }
 END_TEST
 
-/* A build that does not know of evacuations cannot read its polls' answers. */
-START_TEST(evacuation_is_told_only_to_those_who_take_it)
+/* A build without evacuations could not decode the answers to its polls. */
+START_TEST(evacuation_is_announced_only_with_capability)
 {
 	dy_poll_t poll = fake_user_member(DY_MEMBER_BALANCER, "b1", "", 1);
 
-	fake_user_name(&user, DY_CHANGE_EVACUATE, 1, "d1");
+	fake_user_change_named(&user, DY_CHANGE_EVACUATE, 1, "d1");
 	fake_user_poll(&user, &poll);
-	ck_assert_uint_eq(fake_user_count(&user, DY_DELTA_DOMAIN), 0);
+	ck_assert_uint_eq(fake_user_count_deltas(&user, DY_DELTA_DOMAIN), 0);
 }
 END_TEST
 
-/* An order that is sent again moves the state, and is told to all once more. */
-START_TEST(evacuation_that_stands_changes_nothing)
+/* A repeated order must not be announced to all members again. */
+START_TEST(repeated_evacuation_changes_nothing)
 {
 	const dy_registry_domain_t *domains;
 	uint64_t changed;
 	unsigned count;
 
-	fake_user_name(&user, DY_CHANGE_EVACUATE, 1, "d1");
+	fake_user_change_named(&user, DY_CHANGE_EVACUATE, 1, "d1");
 	changed = dy_registry_domains(user.registry, &count)->changed;
-	fake_user_name(&user, DY_CHANGE_EVACUATE, 2, "d1");
+	fake_user_change_named(&user, DY_CHANGE_EVACUATE, 2, "d1");
 	domains = dy_registry_domains(user.registry, &count);
 	ck_assert_uint_eq(count, 1);
 	ck_assert_uint_eq(domains->changed, changed);
 	ck_assert_int_eq(
-		fake_user_name(&user, DY_CHANGE_READMIT, 3, "d2")->status,
+		fake_user_change_named(&user, DY_CHANGE_READMIT, 3, "d2")
+			->status,
 		DY_STATUS_OK);
 	dy_registry_domains(user.registry, &count);
 	ck_assert_uint_eq(count, 1);
 }
 END_TEST
 
-/* Records of domains grow without end. */
+/* The number of domain records must not grow without limit. */
 START_TEST(evacuated_domains_are_bounded)
 {
 	char name[16];
@@ -346,15 +349,16 @@
 
 	for (i = 0; i < DY_REGISTRY_DOMAINS_MAX; i++) {
 		g_snprintf(name, sizeof(name), "d%u", i);
-		ck_assert_int_eq(fake_user_name(&user, DY_CHANGE_EVACUATE,
-						(uint8_t)(i + 1), name)
+		ck_assert_int_eq(fake_user_change_named(&user,
+							DY_CHANGE_EVACUATE,
+							(uint8_t)(i + 1), name)
 					 ->status,
 				 DY_STATUS_OK);
 	}
-	ck_assert_int_eq(
-		fake_user_name(&user, DY_CHANGE_EVACUATE, 200, "one more")
-			->status,
-		DY_STATUS_CONFLICT);
+	ck_assert_int_eq(fake_user_change_named(&user, DY_CHANGE_EVACUATE, 200,
+						"one more")
+				 ->status,
+			 DY_STATUS_CONFLICT);
 	dy_registry_domains(user.registry, &count);
 	ck_assert_uint_eq(count, DY_REGISTRY_DOMAINS_MAX);
 }
@@ -370,10 +374,10 @@
 }
 
 /*
- * Two leaders, one after the other, propose the same step of a rotation: the
- * second would retire the key that signs, or bring back an older one.
+ * Two successive leaders propose the same rotation step. The second step must
+ * not retire the active key or activate an older one.
  */
-START_TEST(key_steps_that_come_late_change_nothing)
+START_TEST(late_key_steps_change_nothing)
 {
 	const dy_registry_key_t *keys;
 	unsigned count;
@@ -394,11 +398,11 @@
 END_TEST
 
 /*
- * An operator rotates again and again within the time that tokens live. Each
- * process holds so many keys and no more: one key too many, and sessions of
- * the oldest are refused.
+ * An operator rotates keys many times within the lifetime of tokens. Each
+ * process holds DY_TOKEN_KEYS_MAX keys; with one more, sessions of the oldest
+ * key would be refused.
  */
-START_TEST(rotations_beyond_what_members_hold_are_refused)
+START_TEST(refuses_rotation_above_key_limit)
 {
 	const dy_change_result_t *answer;
 	uint8_t i;
@@ -419,7 +423,7 @@
 }
 END_TEST
 
-/* Rotation for ever keeps a bounded number of keys, one of them active. */
+/* Many rotations keep a bounded number of keys, one of them active. */
 START_TEST(keys_are_bounded)
 {
 	const dy_registry_key_t *keys;
@@ -439,7 +443,7 @@
 }
 END_TEST
 
-/* Hostile or broken polls and commands change nothing. */
+/* Malicious or malformed polls and commands must not change the state. */
 START_TEST(malformed_input_changes_nothing)
 {
 	dy_poll_t poll = fake_user_member(DY_MEMBER_AGENT, "a", "readings", 1);
@@ -467,8 +471,8 @@
 }
 END_TEST
 
-/* By seed, against the oracle of fake_registry.h. */
-START_TEST(random_run_agrees_with_the_oracle)
+/* A random run per seed, compared with the oracle of fake_registry_run.h. */
+START_TEST(random_run_matches_oracle)
 {
 	GRand *rand = g_rand_new_with_seed((guint32)_i + 1);
 	fake_run_t *run = fake_run_create();
@@ -495,22 +499,23 @@
 	int failures;
 
 	tcase_add_checked_fixture(tcase, setup, teardown);
-	tcase_add_test(tcase, one_of_two_with_the_same_number_wins);
-	tcase_add_test(tcase, resent_change_gets_its_first_answer);
-	tcase_add_test(tcase, production_takes_only_what_was_tried);
-	tcase_add_test(tcase, in_force_counts_only_what_live_members_told);
-	tcase_add_test(tcase, damaged_or_wrong_content_is_refused);
+	tcase_add_test(tcase, accepts_one_of_two_changes_with_same_number);
+	tcase_add_test(tcase, retransmitted_change_gets_first_answer);
+	tcase_add_test(tcase, production_accepts_only_tried_document);
+	tcase_add_test(tcase, in_force_counts_reports_of_live_members);
+	tcase_add_test(tcase, refuses_damaged_or_invalid_content);
 	tcase_add_test(tcase, contents_are_paged_and_bounded);
-	tcase_add_test(tcase, keys_are_distributed_before_and_accepted_after);
-	tcase_add_test(tcase, key_steps_that_come_late_change_nothing);
-	tcase_add_test(tcase, rotations_beyond_what_members_hold_are_refused);
+	tcase_add_test(tcase, keys_are_distributed_before_use_and_retired_late);
+	tcase_add_test(tcase, late_key_steps_change_nothing);
+	tcase_add_test(tcase, refuses_rotation_above_key_limit);
 	tcase_add_test(tcase, keys_are_bounded);
-	tcase_add_test(tcase, evacuation_is_told_and_kept);
-	tcase_add_test(tcase, evacuation_is_told_only_to_those_who_take_it);
-	tcase_add_test(tcase, evacuation_that_stands_changes_nothing);
+	tcase_add_test(tcase,
+		       evacuation_is_announced_and_survives_leader_change);
+	tcase_add_test(tcase, evacuation_is_announced_only_with_capability);
+	tcase_add_test(tcase, repeated_evacuation_changes_nothing);
 	tcase_add_test(tcase, evacuated_domains_are_bounded);
 	tcase_add_test(tcase, malformed_input_changes_nothing);
-	tcase_add_loop_test(tcase, random_run_agrees_with_the_oracle, 0, 20);
+	tcase_add_loop_test(tcase, random_run_matches_oracle, 0, 20);
 	suite_add_tcase(suite, tcase);
 	runner = srunner_create(suite);
 	srunner_run_all(runner, CK_NORMAL);
--- a/tests/test_registry_members.c
+++ b/tests/test_registry_members.c
@@ -1,4 +1,4 @@
-/* Members, their leases and what they are told. */
+/* Members of the registry: joins, leases and answers to polls. */
 
 #include "damaskyard/registry.h"
 
@@ -24,11 +24,11 @@
 }
 
 /*
- * A machine is taken for dead and replaced; the replacement serves under its
- * name, then the old one's network heals. Callers' tokens would name two
- * processes, each with its own record of what ran.
+ * A VM is considered dead and replaced under the same name, and then its
+ * network recovers. Callers' tokens must not name two processes, each with its
+ * own record of the calls that ran.
  */
-START_TEST(name_passes_on_only_when_its_lease_ran_out)
+START_TEST(name_is_reused_only_after_lease_expiry)
 {
 	dy_poll_t older = fake_user_member(DY_MEMBER_AGENT, "a", "readings", 1);
 	dy_poll_t newer = fake_user_member(DY_MEMBER_AGENT, "a", "readings", 2);
@@ -47,31 +47,31 @@
 END_TEST
 
 /*
- * A process is killed and started again within its lease. It would wait for
- * seconds until its own name is free, and serve nobody meanwhile. A copy of
- * the old process's first poll that was held up must not bring that one back.
+ * A process is killed and restarted before its lease expires. It must not wait
+ * for seconds until its own name is free. A delayed copy of the old process's
+ * first poll must not restore the old incarnation.
  */
-START_TEST(restart_at_the_same_address_need_not_wait)
+START_TEST(restart_at_same_address_joins_at_once)
 {
 	dy_poll_t older = fake_user_member(DY_MEMBER_AGENT, "a", "readings", 1);
 	dy_poll_t newer = fake_user_member(DY_MEMBER_AGENT, "a", "readings", 2);
-	dy_poll_t held_up = older;
+	dy_poll_t delayed = older;
 
 	newer.info.address = older.info.address;
 	ck_assert_int_eq(fake_user_poll(&user, &older), DY_STATUS_OK);
 	ck_assert_int_eq(fake_user_poll(&user, &newer), DY_STATUS_OK);
 	ck_assert_uint_gt(newer.incarnation, older.incarnation);
 	ck_assert_int_eq(fake_user_poll(&user, &older), DY_STATUS_SUPERSEDED);
-	ck_assert_int_eq(fake_user_poll(&user, &held_up), DY_STATUS_NAME_TAKEN);
+	ck_assert_int_eq(fake_user_poll(&user, &delayed), DY_STATUS_NAME_TAKEN);
 	ck_assert_int_eq(fake_user_poll(&user, &newer), DY_STATUS_OK);
 }
 END_TEST
 
 /*
- * Two machines start under one name at the same moment: both joins are
- * judged before either is committed, and both would be granted.
+ * Two VMs start under one name at the same time: both joins are evaluated
+ * before either is committed. Only one may be granted.
  */
-START_TEST(one_of_two_joins_under_way_is_granted)
+START_TEST(accepts_one_of_two_concurrent_joins)
 {
 	dy_poll_t one = fake_user_member(DY_MEMBER_AGENT, "a", "readings", 1);
 	dy_poll_t two = fake_user_member(DY_MEMBER_AGENT, "a", "readings", 2);
@@ -90,10 +90,10 @@
 END_TEST
 
 /*
- * A lost answer to the first poll: the member polls again without an
- * incarnation, and is told that its name is taken, by itself.
+ * The answer to the first poll is lost, and the member polls again without an
+ * incarnation. It must not be refused because it holds its name itself.
  */
-START_TEST(resent_join_gets_the_same_incarnation)
+START_TEST(retransmitted_join_gets_same_incarnation)
 {
 	dy_poll_t poll = fake_user_member(DY_MEMBER_AGENT, "a", "readings", 1);
 	uint64_t granted;
@@ -106,8 +106,8 @@
 }
 END_TEST
 
-/* A slow network costs a lease, not the sessions of the incarnation. */
-START_TEST(suspect_that_polls_again_is_back)
+/* A slow network may end a lease, but not the incarnation's sessions. */
+START_TEST(suspect_member_recovers_by_polling)
 {
 	dy_poll_t poll = fake_user_member(DY_MEMBER_AGENT, "a", "readings", 1);
 	uint64_t granted;
@@ -123,10 +123,10 @@
 END_TEST
 
 /*
- * After an election every member is marked suspect at once and no balancer
- * has a target: the new leader has not heard anyone yet.
+ * A new leader has received no poll yet. If it marked every member suspect
+ * after the election, no balancer would have a target.
  */
-START_TEST(new_leader_gives_every_member_a_full_lease)
+START_TEST(new_leader_grants_full_leases)
 {
 	const dy_lease_times_t times = { 3000, 60000 };
 	dy_poll_t a = fake_user_member(DY_MEMBER_AGENT, "a", "readings", 1);
@@ -154,11 +154,11 @@
 END_TEST
 
 /*
- * An agent hands its sessions over, leaves, and is started again under its
- * name. A caller that paused meanwhile comes with the old token: a balancer
- * that knows only the new incarnation cannot tell where the session went.
+ * An agent hands over its sessions, leaves, and is restarted under its name. A
+ * caller that was idle then sends the old token: a balancer that has only the
+ * new incarnation cannot find the session's successor.
  */
-START_TEST(successors_of_one_that_left_outlive_its_return)
+START_TEST(successors_are_kept_after_name_is_reused)
 {
 	dy_poll_t balancer = fake_user_member(DY_MEMBER_BALANCER, "b", "", 9);
 	dy_poll_t poll = fake_user_member(DY_MEMBER_AGENT, "a", "readings", 1);
@@ -178,7 +178,7 @@
 	ck_assert_int_eq(fake_user_poll(&user, &again), DY_STATUS_OK);
 	fake_user_change_leader(&user);
 	ck_assert_int_eq(fake_user_poll(&user, &balancer), DY_STATUS_OK);
-	ck_assert_uint_eq(fake_user_count(&user, DY_DELTA_MEMBER), 2);
+	ck_assert_uint_eq(fake_user_count_deltas(&user, DY_DELTA_MEMBER), 2);
 	member = &user.deltas[0].dy_delta_t_u.member;
 	ck_assert_int_eq(member->state, DY_MEMBER_LEFT);
 	ck_assert_uint_eq(member->incarnation, poll.incarnation);
@@ -189,11 +189,11 @@
 END_TEST
 
 /*
- * An agent starts before its target. Its target announces the readings, and
- * the agent knows none of the other readings agents that stood there before:
- * it has no successor to hand its sessions to.
+ * An agent starts before its target, which then announces a service. The agent
+ * must get the agents that already serve it; otherwise it has no successor for
+ * its sessions.
  */
-START_TEST(agent_sees_its_own_service_once_it_has_one)
+START_TEST(agent_gets_agents_of_its_service_once_set)
 {
 	dy_poll_t maps = fake_user_member(DY_MEMBER_AGENT, "m", "maps", 1);
 	dy_poll_t other = fake_user_member(DY_MEMBER_AGENT, "o", "readings", 2);
@@ -202,10 +202,10 @@
 	fake_user_poll(&user, &maps);
 	fake_user_poll(&user, &other);
 	fake_user_poll(&user, &agent);
-	ck_assert_uint_eq(fake_user_count(&user, DY_DELTA_MEMBER), 0);
+	ck_assert_uint_eq(fake_user_count_deltas(&user, DY_DELTA_MEMBER), 0);
 	agent.info.service = "readings";
 	fake_user_poll(&user, &agent);
-	ck_assert_uint_eq(fake_user_count(&user, DY_DELTA_MEMBER), 2);
+	ck_assert_uint_eq(fake_user_count_deltas(&user, DY_DELTA_MEMBER), 2);
 	fake_user_poll(&user, &maps);
 	fake_user_poll(&user, &agent);
 	ck_assert_uint_eq(user.result.deltas.deltas_len, 0);
@@ -214,8 +214,8 @@
 }
 END_TEST
 
-/* A heartbeat is one read of the log, whatever the group's size. */
-START_TEST(poll_that_changes_nothing_proposes_nothing)
+/* A heartbeat costs one read and no log entry, at any size of the group. */
+START_TEST(unchanged_poll_proposes_nothing)
 {
 	dy_poll_t poll = fake_user_member(DY_MEMBER_AGENT, "a", "readings", 1);
 	unsigned proposed = 0;
@@ -232,10 +232,10 @@
 END_TEST
 
 /*
- * A balancer restarts after hundreds of changes: it is given them page by
- * page, each object once, and then only what changes.
+ * A balancer restarts after hundreds of changes. It gets the state in pages,
+ * each object once, and then only changes.
  */
-START_TEST(whole_state_comes_in_pages_then_only_changes)
+START_TEST(full_state_is_paged_then_incremental)
 {
 	dy_poll_t balancer = fake_user_member(DY_MEMBER_BALANCER, "b", "", 9);
 	unsigned seen[500] = { 0 };
@@ -251,7 +251,7 @@
 					i + 1);
 		poll.info.slots = i;
 		fake_user_poll(&user, &poll);
-		/* Every other one is replaced: two objects in one entry. */
+		/* Replace every other one: one entry changes two objects. */
 		if (i % 2) {
 			fake_user_mark(&user, &poll, DY_MARK_SUSPECT);
 			poll.boot += 1000;
@@ -275,7 +275,7 @@
 	ck_assert_uint_le(pages, 14);
 	for (i = 0; i < 500; i++)
 		ck_assert_uint_eq(seen[i], 1 + i % 2);
-	ck_assert_uint_eq(fake_user_count(&user, DY_DELTA_DOCUMENT), 1);
+	ck_assert_uint_eq(fake_user_count_deltas(&user, DY_DELTA_DOCUMENT), 1);
 	poll.info.slots = 7777;
 	fake_user_poll(&user, &poll);
 	fake_user_poll(&user, &balancer);
@@ -284,10 +284,11 @@
 END_TEST
 
 /*
- * A process was frozen for a day. Members that ended meanwhile are forgotten
- * here, so nothing would tell it that they are gone: it must start anew.
+ * A process was frozen for a day. The records of members that ended meanwhile
+ * have been dropped, so no answer would report their end to it: it must start
+ * with an empty state.
  */
-START_TEST(one_that_missed_forgotten_ends_is_superseded)
+START_TEST(refuses_member_that_missed_dropped_ends)
 {
 	dy_poll_t balancer = fake_user_member(DY_MEMBER_BALANCER, "b", "", 9);
 	dy_poll_t poll = fake_user_member(DY_MEMBER_AGENT, "a", "readings", 1);
@@ -311,11 +312,11 @@
 END_TEST
 
 /*
- * A control was cut off for a day and gives a balancer that starts an image of
- * the day before, after the leader granted it its place. An agent of that image
- * ended and is forgotten, so nothing would tell the balancer that it is gone.
+ * A control that was disconnected for a day sends a day-old image to a balancer
+ * that has just joined. An agent of that image ended and its record has been
+ * dropped, so no answer would report its end to the balancer.
  */
-START_TEST(image_that_misses_forgotten_ends_is_refused)
+START_TEST(refuses_image_that_misses_dropped_ends)
 {
 	dy_poll_t balancer = fake_user_member(DY_MEMBER_BALANCER, "b", "", 9);
 	dy_poll_t poll = fake_user_member(DY_MEMBER_AGENT, "a", "readings", 1);
@@ -338,17 +339,17 @@
 END_TEST
 
 /*
- * Most agents of a site joined long ago, and one that ended since is forgotten.
- * A balancer that starts is told the state page by page, oldest first: the
- * version of its first page is older than what is forgotten, and was it refused
- * for that it would start anew for ever.
+ * Most agents joined long ago, and the record of one that ended since has been
+ * dropped. A balancer that starts gets the state in pages, oldest first. The
+ * version of its first page is older than the dropped record; if it were
+ * refused for that, it would restart forever.
  */
-START_TEST(pages_older_than_forgotten_ends_go_on)
+START_TEST(accepts_pages_older_than_dropped_ends)
 {
 	static char names[DY_DELTAS_MAX + 10][16];
 	dy_poll_t balancer = fake_user_member(DY_MEMBER_BALANCER, "b", "", 9);
 	dy_poll_t poll;
-	unsigned told = 0;
+	unsigned received = 0;
 	unsigned i;
 
 	for (i = 0; i < DY_DELTAS_MAX + 10; i++) {
@@ -363,14 +364,14 @@
 	do {
 		ck_assert_int_eq(fake_user_poll(&user, &balancer),
 				 DY_STATUS_OK);
-		told += fake_user_count(&user, DY_DELTA_MEMBER);
+		received += fake_user_count_deltas(&user, DY_DELTA_MEMBER);
 	} while (user.result.more);
-	ck_assert_uint_eq(told, DY_DELTAS_MAX + 9);
+	ck_assert_uint_eq(received, DY_DELTAS_MAX + 9);
 }
 END_TEST
 
-/* A member that restarts without end must not fill the controls' memory. */
-START_TEST(records_of_those_gone_are_bounded)
+/* A member in a restart loop must not exhaust the controls' memory. */
+START_TEST(ended_records_are_bounded)
 {
 	dy_command_t join = { .kind = DY_COMMAND_JOIN };
 	dy_poll_t poll = fake_user_member(DY_MEMBER_AGENT, "a", "readings", 1);
@@ -391,51 +392,53 @@
 		sizes[i / DY_REGISTRY_ENDED_MAX] = saved->len;
 		g_byte_array_unref(saved);
 	}
-	/* The first time one fewer is gone than later. */
+	/* One record fewer has ended at the first measurement. */
 	ck_assert_uint_gt(sizes[0], DY_REGISTRY_ENDED_MAX * 100);
 	ck_assert_uint_le(sizes[1], sizes[0] + 400);
 }
 END_TEST
 
-/* An operator drains a member, or strikes one whose machine burnt. */
-START_TEST(operators_drain_and_remove_by_name)
+/* An operator drains a member, or removes one whose VM is lost. */
+START_TEST(operator_drains_and_removes_by_name)
 {
 	dy_poll_t poll = fake_user_member(DY_MEMBER_AGENT, "a", "readings", 1);
 	dy_poll_t twin = fake_user_member(DY_MEMBER_AGENT, "a", "readings", 2);
 
-	ck_assert_int_eq(fake_user_name(&user, DY_CHANGE_DRAIN, 1, "a")->status,
-			 DY_STATUS_NOT_FOUND);
+	ck_assert_int_eq(
+		fake_user_change_named(&user, DY_CHANGE_DRAIN, 1, "a")->status,
+		DY_STATUS_NOT_FOUND);
 	fake_user_poll(&user, &poll);
 	ck_assert(!user.result.drain);
-	ck_assert_int_eq(fake_user_name(&user, DY_CHANGE_DRAIN, 2, "a")->status,
-			 DY_STATUS_OK);
+	ck_assert_int_eq(
+		fake_user_change_named(&user, DY_CHANGE_DRAIN, 2, "a")->status,
+		DY_STATUS_OK);
 	fake_user_change_leader(&user);
 	fake_user_poll(&user, &poll);
 	ck_assert(user.result.drain);
 	twin.info.environment = "production";
 	fake_user_poll(&user, &twin);
 	ck_assert_int_eq(
-		fake_user_name(&user, DY_CHANGE_REMOVE, 3, "a")->status,
+		fake_user_change_named(&user, DY_CHANGE_REMOVE, 3, "a")->status,
 		DY_STATUS_CONFLICT);
 	twin.state = DY_MEMBER_LEFT;
 	fake_user_poll(&user, &twin);
 	ck_assert_int_eq(
-		fake_user_name(&user, DY_CHANGE_REMOVE, 4, "a")->status,
+		fake_user_change_named(&user, DY_CHANGE_REMOVE, 4, "a")->status,
 		DY_STATUS_OK);
 	ck_assert_int_eq(fake_user_poll(&user, &poll), DY_STATUS_SUPERSEDED);
 }
 END_TEST
 
-/* Polls until all is told; returns the members that were. */
-static unsigned count_told(dy_poll_t *poll)
+/* Poll until there are no more changes. Returns the members received. */
+static unsigned poll_until_current(dy_poll_t *poll)
 {
-	unsigned told = 0;
+	unsigned received = 0;
 
 	do {
 		ck_assert_int_eq(fake_user_poll(&user, poll), DY_STATUS_OK);
-		told += fake_user_count(&user, DY_DELTA_MEMBER);
+		received += fake_user_count_deltas(&user, DY_DELTA_MEMBER);
 	} while (user.result.more);
-	return told;
+	return received;
 }
 
 static void join_agents(dy_poll_t *agents, unsigned count, uint64_t boot)
@@ -453,36 +456,37 @@
 }
 
 /*
- * All agents were restarted some times. A balancer that starts is told of each
- * incarnation that ever was, over a link of two megabits, while callers wait;
- * it never heard of any of them. One that knew some must be told of their end.
+ * All agents were restarted several times. A balancer that starts should not
+ * receive every ended incarnation over a link of 2 Mbit/s while callers wait.
+ * A balancer that has received a member must also receive its end.
  */
-START_TEST(ends_of_members_never_heard_of_are_skipped)
+START_TEST(skips_ends_of_members_never_received)
 {
 	dy_poll_t agents[10];
 	dy_poll_t fresh = fake_user_member(DY_MEMBER_BALANCER, "b1", "", 1);
-	dy_poll_t knowing = fake_user_member(DY_MEMBER_BALANCER, "b2", "", 1);
-	dy_poll_t keeping = fake_user_member(DY_MEMBER_BALANCER, "b3", "", 1);
+	dy_poll_t caught_up = fake_user_member(DY_MEMBER_BALANCER, "b2", "", 1);
+	dy_poll_t unfiltered =
+		fake_user_member(DY_MEMBER_BALANCER, "b3", "", 1);
 
 	fresh.skips = DY_SKIP_ENDED;
-	knowing.skips = DY_SKIP_ENDED;
+	caught_up.skips = DY_SKIP_ENDED;
 	join_agents(agents, 10, 1);
-	ck_assert_uint_eq(count_told(&knowing), 10);
+	ck_assert_uint_eq(poll_until_current(&caught_up), 10);
 	join_agents(agents, 10, 2);
 	join_agents(agents, 10, 3);
-	ck_assert_uint_eq(count_told(&fresh), 10);
-	/* Ten ends that it must know, and ten new ones. */
-	ck_assert_uint_eq(count_told(&knowing), 20);
-	/* Tokens may name any incarnation. */
-	ck_assert_uint_eq(count_told(&keeping), 30);
+	ck_assert_uint_eq(poll_until_current(&fresh), 10);
+	/* The ends of ten known members, and ten new members. */
+	ck_assert_uint_eq(poll_until_current(&caught_up), 20);
+	/* Without DY_SKIP_ENDED: tokens may name any incarnation. */
+	ck_assert_uint_eq(poll_until_current(&unfiltered), 30);
 }
 END_TEST
 
 /*
- * Hundreds of agents of one service start at once. Each is told of all others,
- * of which it makes no use, and the leader's work grows with their square.
+ * Hundreds of agents of one service start at once. If each received all others,
+ * which it does not use, the leader's work would grow with their square.
  */
-START_TEST(what_a_member_does_not_use_is_not_told)
+START_TEST(skips_objects_that_member_does_not_use)
 {
 	dy_poll_t agents[10];
 
@@ -496,15 +500,15 @@
 			  dy_registry_index(user.registry));
 	agents[3].state_version = 0;
 	agents[3].skips = 0;
-	ck_assert_uint_eq(count_told(&agents[3]), 10);
+	ck_assert_uint_eq(poll_until_current(&agents[3]), 10);
 }
 END_TEST
 
 /*
- * A balancer starts from an image that any control gave, and the leader's next
- * answer goes on from there: nothing is told twice, nothing is left out.
+ * A balancer starts from an image of any control, and the leader's next answer
+ * continues from it: nothing is sent twice, nothing is missing.
  */
-START_TEST(image_and_what_follows_are_the_whole_state)
+START_TEST(image_plus_deltas_are_the_full_state)
 {
 	GArray *image = g_array_new(FALSE, FALSE, sizeof(dy_delta_t));
 	dy_poll_t agents[10];
@@ -524,8 +528,8 @@
 	version = dy_registry_index(user.registry);
 	join_agents(agents, 2, 3);
 	starting.state_version = version;
-	/* Two ends of what stands in the image, and two new ones. */
-	ck_assert_uint_eq(count_told(&starting), 4);
+	/* The ends of two members of the image, and two new members. */
+	ck_assert_uint_eq(poll_until_current(&starting), 4);
 	g_array_free(image, TRUE);
 }
 END_TEST
@@ -538,24 +542,24 @@
 	int failures;
 
 	tcase_add_checked_fixture(tcase, setup, teardown);
-	tcase_add_test(tcase, name_passes_on_only_when_its_lease_ran_out);
-	tcase_add_test(tcase, restart_at_the_same_address_need_not_wait);
-	tcase_add_test(tcase, one_of_two_joins_under_way_is_granted);
-	tcase_add_test(tcase, resent_join_gets_the_same_incarnation);
-	tcase_add_test(tcase, suspect_that_polls_again_is_back);
-	tcase_add_test(tcase, new_leader_gives_every_member_a_full_lease);
-	tcase_add_test(tcase, successors_of_one_that_left_outlive_its_return);
-	tcase_add_test(tcase, agent_sees_its_own_service_once_it_has_one);
-	tcase_add_test(tcase, poll_that_changes_nothing_proposes_nothing);
-	tcase_add_test(tcase, whole_state_comes_in_pages_then_only_changes);
-	tcase_add_test(tcase, one_that_missed_forgotten_ends_is_superseded);
-	tcase_add_test(tcase, image_that_misses_forgotten_ends_is_refused);
-	tcase_add_test(tcase, pages_older_than_forgotten_ends_go_on);
-	tcase_add_test(tcase, records_of_those_gone_are_bounded);
-	tcase_add_test(tcase, operators_drain_and_remove_by_name);
-	tcase_add_test(tcase, ends_of_members_never_heard_of_are_skipped);
-	tcase_add_test(tcase, what_a_member_does_not_use_is_not_told);
-	tcase_add_test(tcase, image_and_what_follows_are_the_whole_state);
+	tcase_add_test(tcase, name_is_reused_only_after_lease_expiry);
+	tcase_add_test(tcase, restart_at_same_address_joins_at_once);
+	tcase_add_test(tcase, accepts_one_of_two_concurrent_joins);
+	tcase_add_test(tcase, retransmitted_join_gets_same_incarnation);
+	tcase_add_test(tcase, suspect_member_recovers_by_polling);
+	tcase_add_test(tcase, new_leader_grants_full_leases);
+	tcase_add_test(tcase, successors_are_kept_after_name_is_reused);
+	tcase_add_test(tcase, agent_gets_agents_of_its_service_once_set);
+	tcase_add_test(tcase, unchanged_poll_proposes_nothing);
+	tcase_add_test(tcase, full_state_is_paged_then_incremental);
+	tcase_add_test(tcase, refuses_member_that_missed_dropped_ends);
+	tcase_add_test(tcase, refuses_image_that_misses_dropped_ends);
+	tcase_add_test(tcase, accepts_pages_older_than_dropped_ends);
+	tcase_add_test(tcase, ended_records_are_bounded);
+	tcase_add_test(tcase, operator_drains_and_removes_by_name);
+	tcase_add_test(tcase, skips_ends_of_members_never_received);
+	tcase_add_test(tcase, skips_objects_that_member_does_not_use);
+	tcase_add_test(tcase, image_plus_deltas_are_the_full_state);
 	suite_add_tcase(suite, tcase);
 	runner = srunner_create(suite);
 	srunner_run_all(runner, CK_NORMAL);
