--- a/include/damaskyard/control.h
+++ b/include/damaskyard/control.h
@@ -2,18 +2,21 @@
 #define DAMASKYARD_CONTROL_H
 
 /*
- * The control process: one member of the control group, over a data folder,
- * a datagram socket, the replicated log and the registry.
+ * The control process: one member of the replicated control group. It owns a
+ * data folder, a UDP socket, the replicated log and the member registry.
  *
- * How a group begins, without a flag: the lowest slot of --peers founds it
- * once every other listed peer has answered that its store is empty. Every
- * other empty control says so to its peers, and the leader adds it: as a
- * learner, then, once it has caught up, in place of the identity that held
- * its slot. A control whose disk was lost comes back in the same way, as
- * somebody else, and never votes under the old identity.
+ * A group bootstraps without a flag. The lowest slot of --peers bootstraps the
+ * group once every other listed peer has answered that its store is empty.
+ * Every other control with an empty store announces itself to its peers, and
+ * the leader adds it: first as a learner, then, once it has caught up, as a
+ * voter in place of the identity that held its slot. A control whose disk was
+ * lost rejoins the same way under a new identity, and never votes under the old
+ * one.
  *
- * Members and operators are served only while a majority of the listed peers
- * votes, so that nothing is accepted by a group that is still being founded.
+ * The control serves members and operators only while a majority of the listed
+ * peers votes, so that a group that is still bootstrapping accepts nothing.
+ *
+ * Callbacks run on the loop's thread.
  */
 
 #include <stdint.h>
@@ -28,87 +31,105 @@
 #include "dy_control.h"
 #include "dy_raft.h"
 
-/* Default times, in ms. */
-
 /*
- * Six polls of 500 ms. A target that vanished gets no new flow after this;
- * a leader's election of under 1 s takes no lease away.
+ * Default lease of a member: six poll intervals of 500 ms. A target that
+ * disappeared gets no new flow after this time. An election, which takes less
+ * than 1 s, expires no lease.
  */
 #define DY_LEASE_MS 3000
 
 /*
- * How long the record of a member that is gone is kept: three times the 4 h
- * after which an idle session is closed, so no session names one that is
- * forgotten.
+ * Default retention of the record of a departed member: three times the 4 h
+ * after which an idle session is closed, so that no session refers to a member
+ * without a record.
  */
 #define DY_MEMBER_KEEP_S 43200
 
-/* A key a day; eight may be in use, so an operator can add some. */
+/*
+ * Default interval of key rotation: one day. Up to eight keys may be in use, so
+ * an operator can add some.
+ */
 #define DY_KEY_ROTATION_S 86400
 
-/* Twenty polls, and thrice a lease: who missed it then is suspect. */
+/*
+ * Default time for a new key to reach all members before it becomes active:
+ * twenty poll intervals and more than three leases. A member that has not
+ * polled in this time is suspect.
+ */
 #define DY_KEY_DISTRIBUTE_S 10
 
-/* Peers by slot, 1 to DY_RAFT_MEMBERS_MAX; port 0: no such slot. */
+/* Peer addresses by slot, 1 to DY_RAFT_MEMBERS_MAX; port 0: unused slot. */
 typedef struct dy_peers {
 	dy_address_t slots[DY_RAFT_MEMBERS_MAX + 1];
 	unsigned count;
 } dy_peers_t;
 
 /*
- * Parse "1=IP:PORT,2=IP:PORT,...". Returns FALSE with error set if an item
- * is malformed, or a slot or address stands twice.
+ * Parses "1=IP:PORT,2=IP:PORT,..." into peers. Returns FALSE with error set if
+ * an item is malformed, or if a slot or an address occurs twice.
  */
 gboolean dy_peers_parse(dy_peers_t *peers, const char *text, GError **error);
 
-/* The lowest slot of peers. */
+/* Returns the lowest used slot of peers. */
 uint32_t dy_peers_lowest_slot(const dy_peers_t *peers);
 
 /*
- * Losses of controls at once that a group bears if nothing else is said: the
- * voters are twice that and one. Each more costs every entry two more copies.
+ * Default of dy_control_options_t.losses: how many controls may fail at the
+ * same time. The group needs twice that number of voters plus one; each further
+ * loss costs two more copies of every log entry.
  */
 #define DY_LOSSES_DEFAULT 1
 
-/* How a control ended. */
+/* Why a control ended. */
 typedef enum dy_control_exit_reason {
 	DY_CONTROL_STOPPED,
-	DY_CONTROL_DISK_FAILED, /* it may be started again on the same folder */
-	DY_CONTROL_EVICTED	/* no member any more; start on an empty one */
+	DY_CONTROL_DISK_FAILED, /* can restart on the same folder */
+	DY_CONTROL_EVICTED	/* not a member; needs an empty folder */
 } dy_control_exit_reason_t;
 
+/* Options of dy_control_create(). */
 typedef struct dy_control_options {
+	/* Id of the group, and this control's slot in it. */
 	uint64_t group;
 	uint32_t slot;
+	/* Data folder, and the address of the control's own messages. */
 	const char *folder;
 	dy_address_t listen;
-	/* The group at its founding, or with `open` those of it that answer. */
+	/*
+	 * The group at its bootstrap; with dynamic_membership, those of its
+	 * members that answered.
+	 */
 	dy_peers_t peers;
 	/*
-	 * The group's members are those of its log, not those of peers: a
-	 * control at a new address is taken in, and one that is gone for good
-	 * is let go once there are more than needed.
+	 * If set, the group's members are those of its log, not those of peers:
+	 * a control at a new address can join, and a control that does not
+	 * return is removed once there are more voters than needed.
 	 */
 	int dynamic_membership;
-	/* Open groups: losses at once to be borne; 0: DY_LOSSES_DEFAULT. */
+	/*
+	 * Dynamic membership: number of controls that may fail at the same
+	 * time; 0: DY_LOSSES_DEFAULT.
+	 */
 	unsigned losses;
 	/*
-	 * Whether bytes are a document that every process would take; writes
-	 * the reason into message if not. NULL: the product's own document,
-	 * which is judged where the log is applied. A check that is given is
-	 * asked before a document is proposed, and never again: a control that
-	 * has a small part of a core and restarts would else spend seconds on
-	 * judging each document of its log once more.
+	 * Returns 1 if bytes are a document that every process accepts, else 0
+	 * with the reason in message. NULL: the document has this product's own
+	 * format and is validated where the log is applied.
+	 *
+	 * A given check runs once, before a document is proposed, and never
+	 * when the log is replayed: a control with a small share of a core
+	 * would otherwise spend seconds after a restart on validating each
+	 * document of its log again.
 	 */
 	int (*check)(void *context, const uint8_t *bytes, size_t size,
 		     char *message, size_t message_size);
 	void *check_context;
 	/*
-	 * Failure domains that operators may evacuate beside those of members,
-	 * ended by NULL, kept by reference; NULL: none.
+	 * Failure domains that operators may evacuate in addition to those of
+	 * members. NULL-terminated, kept by reference; NULL: none.
 	 */
 	char **domains;
-	/* As in dy_raft_options_t; 0: the default. */
+	/* As in dy_raft_options_t; 0: its default. */
 	uint32_t snapshot_bytes;
 	uint32_t first_election_ms;
 	dy_secrets_t secrets;
@@ -119,76 +140,89 @@
 typedef struct dy_control dy_control_t;
 
 /*
- * Create a control on loop. options is copied; loop and metrics are kept by
- * reference. Returns NULL with error set if its disk or its socket does not
- * open. Destroy it after the loop's last run and before the loop.
+ * Creates a control on loop. Copies options; keeps loop and metrics by
+ * reference. Returns NULL with error set if the data folder or the socket
+ * cannot be opened. Destroy the control after the last run of the loop and
+ * before the loop.
  */
 dy_control_t *dy_control_create(dy_loop_t *loop, dy_metrics_t *metrics,
 				const dy_control_options_t *options,
 				GError **error);
+/* Answers pending callbacks and frees the control; NULL is allowed. */
 void dy_control_destroy(dy_control_t *control);
 
 /*
- * Begin the planned stop: hand over the lead, answer what is waiting, then
- * end the loop. A dy_loop_stop_cb_t.
+ * Starts a planned shutdown: transfers the leadership, answers the pending
+ * requests, then ends the loop. Has the type dy_loop_stop_cb_t; its argument is
+ * the dy_control_t.
  */
 void dy_control_stop(void *control);
 
-/* How the control ended; valid once the loop has ended. */
+/* Returns why the control ended; valid once the loop has ended. */
 dy_control_exit_reason_t dy_control_exit_reason(const dy_control_t *control);
 
 /*
- * Documents that come from elsewhere than a `damaskyard submit`, as by another
- * door of the same process. Each callback is called once, at once or later;
- * it must not destroy the control.
- *
- * dy_control_publish() brings bytes into force in trial under number, unless
- * that or a higher one is in force. The caller has judged them by the check.
- * Status OK: they are, or were overtaken. MALFORMED, with message: not a
- * document. Others: not known to be in force.
+ * Result of dy_control_publish() and of dy_control_change_domain(). message is
+ * valid only during the call.
  */
 typedef void dy_control_done_cb_t(void *context, dy_status_t status,
 				  const char *message);
+/*
+ * Publishes size bytes as the document of environment `trial` under the version
+ * `number`. This is for other interfaces of the same process than the command
+ * `damaskyard submit`. If that version or a higher one is in force, nothing
+ * changes. The caller has validated bytes with options.check; they are copied.
+ *
+ * Calls done exactly once, before or after the return; done must not destroy
+ * the control. Status OK: the document is in force, or a higher version
+ * superseded it. MALFORMED, with message: bytes are not a document. Any other
+ * status: the document is not known to be in force.
+ */
 void dy_control_publish(dy_control_t *control, const uint8_t *bytes,
 			size_t size, uint64_t number,
 			dy_control_done_cb_t *done, void *context);
 
-/*
- * Load trial's document, confirmed by a majority. With any status but OK
- * bytes is NULL; NOT_FOUND: there is none yet.
- */
+/* Result of dy_control_read_document(). bytes is valid only during the call. */
 typedef void dy_control_document_cb_t(void *context, dy_status_t status,
 				      const uint8_t *bytes, size_t size);
+/*
+ * Reads the document of environment `trial` after a majority has confirmed the
+ * leader. Calls done exactly once, before or after the return; done must not
+ * destroy the control. With any status but OK, bytes is NULL; NOT_FOUND: there
+ * is no document yet.
+ */
 void dy_control_read_document(dy_control_t *control,
 			      dy_control_document_cb_t *done, void *context);
 
 /*
- * An operator's order that the targets of a failure domain take no new flow,
- * or take some again. Open flows stay where they are.
+ * An operator's change to a failure domain: evacuate it, so that its targets
+ * get no new flows, or readmit it. Open flows stay where they are.
  */
 typedef struct dy_domain_change {
 	const char *domain;
 	int evacuated;
 	/*
-	 * Whether the order's caller still waits. Asked after a majority has
-	 * confirmed the leader and before the order stands in the log; one that
-	 * nobody waits for is dropped. May be NULL.
+	 * Returns whether the caller still waits for the result. Called after a
+	 * majority has confirmed the leader and before the change is proposed;
+	 * a change without a waiting caller is dropped. May be NULL.
 	 */
 	int (*is_caller_waiting)(void *context);
 	/*
-	 * Called once, at once or later; must not destroy the control. OK: it
-	 * is committed, or stood already. NOT_FOUND, CONFLICT: refused for
-	 * good, with message. Others: not known to be in force.
+	 * Called exactly once, before or after the return of
+	 * dy_control_change_domain(); must not destroy the control. OK: the
+	 * change is committed, or was in force already. NOT_FOUND, CONFLICT:
+	 * rejected for good, with message. Any other status: the change is not
+	 * known to be in force.
 	 */
 	dy_control_done_cb_t *done;
 	void *context;
 } dy_domain_change_t;
 
-/* Take an order, which is copied. */
+/* Requests change, which is copied. */
 void dy_control_change_domain(dy_control_t *control,
-			      const dy_domain_change_t *order);
+			      const dy_domain_change_t *change);
 
-/* Address of the leader; port 0 if none is known. */
+/* Sets leader to the leader's address; port 0 if none is known. */
 void dy_control_leader(const dy_control_t *control, dy_address_t *leader);
 
 #endif
--- a/src/process/control/invitations.c
+++ b/src/process/control/invitations.c
@@ -4,30 +4,30 @@
 
 #include "damaskyard/list.h"
 
-typedef struct guest {
+typedef struct invitation {
 	uint64_t member;
-	uint64_t invited_ms;
-	int is_invited;
-	dy_list_t link; /* in the kind's line, or among the invited */
-} guest_t;
+	uint64_t sent_ms;
+	int is_sent;
+	dy_list_t link; /* in balancers, agents or sent */
+} invitation_t;
 
 struct dy_invitations {
-	GHashTable *guests; /* by member */
+	GHashTable *by_member; /* invitation_t by member, owned */
 	dy_list_t balancers;
 	dy_list_t agents;
-	dy_list_t invited; /* oldest first */
-	unsigned invited_count;
+	dy_list_t sent; /* oldest first */
+	unsigned sent_count;
 };
 
 dy_invitations_t *dy_invitations_create(void)
 {
 	dy_invitations_t *invitations = g_new0(dy_invitations_t, 1);
 
-	invitations->guests = g_hash_table_new_full(g_int64_hash, g_int64_equal,
-						    NULL, g_free);
+	invitations->by_member = g_hash_table_new_full(
+		g_int64_hash, g_int64_equal, NULL, g_free);
 	dy_list_init(&invitations->balancers);
 	dy_list_init(&invitations->agents);
-	dy_list_init(&invitations->invited);
+	dy_list_init(&invitations->sent);
 	return invitations;
 }
 
@@ -35,89 +35,93 @@
 {
 	if (!invitations)
 		return;
-	g_hash_table_destroy(invitations->guests);
+	g_hash_table_destroy(invitations->by_member);
 	g_free(invitations);
 }
 
 void dy_invitations_clear(dy_invitations_t *invitations)
 {
-	g_hash_table_remove_all(invitations->guests);
+	g_hash_table_remove_all(invitations->by_member);
 	dy_list_init(&invitations->balancers);
 	dy_list_init(&invitations->agents);
-	dy_list_init(&invitations->invited);
-	invitations->invited_count = 0;
+	dy_list_init(&invitations->sent);
+	invitations->sent_count = 0;
 }
 
 void dy_invitations_add(dy_invitations_t *invitations, uint64_t member,
 			int is_balancer)
 {
-	guest_t *guest;
+	invitation_t *invitation;
 
-	if (g_hash_table_contains(invitations->guests, &member))
+	if (g_hash_table_contains(invitations->by_member, &member))
 		return;
-	guest = g_new0(guest_t, 1);
-	guest->member = member;
-	dy_list_init(&guest->link);
+	invitation = g_new0(invitation_t, 1);
+	invitation->member = member;
+	dy_list_init(&invitation->link);
 	dy_list_append(is_balancer ? &invitations->balancers
 				   : &invitations->agents,
-		       &guest->link);
-	g_hash_table_insert(invitations->guests, &guest->member, guest);
+		       &invitation->link);
+	g_hash_table_insert(invitations->by_member, &invitation->member,
+			    invitation);
 }
 
-static void end_guest(dy_invitations_t *invitations, guest_t *guest)
+static void remove_invitation(dy_invitations_t *invitations,
+			      invitation_t *invitation)
 {
-	dy_list_remove(&guest->link);
-	if (guest->is_invited)
-		invitations->invited_count--;
-	g_hash_table_remove(invitations->guests, &guest->member);
+	dy_list_remove(&invitation->link);
+	if (invitation->is_sent)
+		invitations->sent_count--;
+	g_hash_table_remove(invitations->by_member, &invitation->member);
 }
 
 void dy_invitations_remove(dy_invitations_t *invitations, uint64_t member)
 {
-	guest_t *guest = g_hash_table_lookup(invitations->guests, &member);
+	invitation_t *invitation =
+		g_hash_table_lookup(invitations->by_member, &member);
 
-	if (guest)
-		end_guest(invitations, guest);
+	if (invitation)
+		remove_invitation(invitations, invitation);
 }
 
-static guest_t *first_of(const dy_list_t *line)
+static invitation_t *first_of(const dy_list_t *list)
 {
-	return dy_list_empty(line) ? NULL
-				   : DY_LIST_ITEM(line->next, guest_t, link);
+	return dy_list_empty(list)
+		       ? NULL
+		       : DY_LIST_ITEM(list->next, invitation_t, link);
 }
 
-static void drop_late(dy_invitations_t *invitations, uint64_t now_ms)
+static void drop_expired(dy_invitations_t *invitations, uint64_t now_ms)
 {
-	guest_t *guest;
+	invitation_t *invitation;
 
-	while ((guest = first_of(&invitations->invited)) &&
-	       now_ms - guest->invited_ms >= DY_INVITATION_TIMEOUT_MS)
-		end_guest(invitations, guest);
+	while ((invitation = first_of(&invitations->sent)) &&
+	       now_ms - invitation->sent_ms >= DY_INVITATION_TIMEOUT_MS)
+		remove_invitation(invitations, invitation);
 }
 
 int dy_invitations_next(dy_invitations_t *invitations, uint64_t now_ms,
 			uint64_t *member)
 {
-	guest_t *guest;
+	invitation_t *invitation;
 
-	drop_late(invitations, now_ms);
-	if (invitations->invited_count >= DY_INVITATIONS_IN_FLIGHT_MAX)
+	drop_expired(invitations, now_ms);
+	if (invitations->sent_count >= DY_INVITATIONS_IN_FLIGHT_MAX)
 		return 0;
-	guest = first_of(&invitations->balancers);
-	if (!guest)
-		guest = first_of(&invitations->agents);
-	if (!guest)
+	invitation = first_of(&invitations->balancers);
+	if (!invitation)
+		invitation = first_of(&invitations->agents);
+	if (!invitation)
 		return 0;
-	guest->is_invited = 1;
-	guest->invited_ms = now_ms;
-	dy_list_remove(&guest->link);
-	dy_list_append(&invitations->invited, &guest->link);
-	invitations->invited_count++;
-	*member = guest->member;
+	invitation->is_sent = 1;
+	invitation->sent_ms = now_ms;
+	dy_list_remove(&invitation->link);
+	dy_list_append(&invitations->sent, &invitation->link);
+	invitations->sent_count++;
+	*member = invitation->member;
 	return 1;
 }
 
 int dy_invitations_is_empty(const dy_invitations_t *invitations)
 {
-	return !g_hash_table_size(invitations->guests);
+	return !g_hash_table_size(invitations->by_member);
 }
--- a/src/process/control/operator_api.c
+++ b/src/process/control/operator_api.c
@@ -8,8 +8,8 @@
 #include "platform/configuration.h"
 
 /*
- * Bytes of a configuration at most, some 16,000 entries. A control holds a few
- * of them at once.
+ * Limit for one configuration, some 16,000 entries. A control holds a few of
+ * them in memory at once.
  */
 #define BODY_MAX_BYTES (4 * 1024 * 1024)
 
@@ -25,137 +25,139 @@
 	uint64_t *unavailable;
 	uint64_t *redirected;
 	uint64_t *reads;
-	uint64_t *domain_orders;
-	uint64_t *domain_refused;
+	uint64_t *domain_changes;
+	uint64_t *domain_changes_refused;
 };
 
-/* An order that waits for the log. */
-typedef struct order {
-	operator_api_t *door;
+/* An operator's call that waits for the log. */
+typedef struct api_call {
+	operator_api_t *api;
 	dy_http_exchange_t *exchange;
-	char *path; /* of the call, for a redirect */
+	char *path; /* request path, for a redirect */
 	uint64_t version;
-	uint64_t began_ms;
-} order_t;
+	uint64_t started_ms;
+} api_call_t;
 
-static order_t *begin_order(operator_api_t *door, dy_http_exchange_t *exchange,
-			    const char *path)
+static api_call_t *create_call(operator_api_t *api,
+			       dy_http_exchange_t *exchange, const char *path)
 {
-	order_t *order = g_new0(order_t, 1);
+	api_call_t *call = g_new0(api_call_t, 1);
 
-	order->door = door;
-	order->exchange = exchange;
-	order->path = g_strdup(path);
-	order->began_ms = dy_loop_now_ms(door->loop);
-	return order;
+	call->api = api;
+	call->exchange = exchange;
+	call->path = g_strdup(path);
+	call->started_ms = dy_loop_now_ms(api->loop);
+	return call;
 }
 
-static void free_order(order_t *order)
+static void destroy_call(api_call_t *call)
 {
-	g_free(order->path);
-	g_free(order);
+	g_free(call->path);
+	g_free(call);
 }
 
-static void answer_unavailable(operator_api_t *door,
+static void answer_unavailable(operator_api_t *api,
 			       dy_http_exchange_t *exchange)
 {
-	++*door->unavailable;
+	++*api->unavailable;
 	dy_http_answer_status(exchange, 503);
 }
 
-static void answer_invalid(operator_api_t *door, dy_http_exchange_t *exchange,
+static void answer_invalid(operator_api_t *api, dy_http_exchange_t *exchange,
 			   const char *message)
 {
-	++*door->invalid;
-	if (dy_log_allow(&door->limit, "configuration_refused",
-			 dy_loop_now_ms(door->loop)))
+	++*api->invalid;
+	if (dy_log_allow(&api->limit, "configuration_refused",
+			 dy_loop_now_ms(api->loop)))
 		dy_log_event(DY_LOG_INFO, "configuration_refused", "error=%s",
 			     dy_log_quote(message));
 	dy_http_answer_status(exchange, 400);
 }
 
 /*
- * Name the leader, whose door has this one's port. Returns 0 if none is known,
- * or it is this control, which cannot serve then.
+ * Redirects to the leader, whose interface has the same port as this one.
+ * Returns 0 if no leader is known, or if the leader is this control, which does
+ * not serve in that case.
  */
-static int redirect(const order_t *order)
+static int redirect(const api_call_t *call)
 {
-	operator_api_t *door = order->door;
+	operator_api_t *api = call->api;
 	char text[DY_ADDRESS_TEXT_BYTES];
 	dy_http_answer_t answer = { .status = 307 };
 	dy_address_t leader;
 	char *location;
 
-	dy_control_leader(door->control, &leader);
+	dy_control_leader(api->control, &leader);
 	if (!leader.port)
 		return 0;
-	leader.port = door->listen.port;
-	if (dy_address_equal(&leader, &door->listen))
+	leader.port = api->listen.port;
+	if (dy_address_equal(&leader, &api->listen))
 		return 0;
 	location = g_strdup_printf(
-		"http://%s%s", dy_address_format(&leader, text), order->path);
+		"http://%s%s", dy_address_format(&leader, text), call->path);
 	answer.location = location;
-	++*door->redirected;
-	dy_http_answer(order->exchange, &answer);
+	++*api->redirected;
+	dy_http_answer(call->exchange, &answer);
 	g_free(location);
 	return 1;
 }
 
-static void on_raised(void *context, dy_status_t status, const char *message)
+static void on_published(void *context, dy_status_t status, const char *message)
 {
-	order_t *order = context;
-	operator_api_t *door = order->door;
-	uint64_t now = dy_loop_now_ms(door->loop);
+	api_call_t *call = context;
+	operator_api_t *api = call->api;
+	uint64_t now = dy_loop_now_ms(api->loop);
 
-	if (dy_log_allow(&door->limit, "configuration_decided", now))
+	if (dy_log_allow(&api->limit, "configuration_decided", now))
 		dy_log_event(DY_LOG_INFO, "configuration_decided",
 			     "version=%lu status=%d ms=%lu",
-			     (unsigned long)order->version, status,
-			     (unsigned long)(now - order->began_ms));
+			     (unsigned long)call->version, status,
+			     (unsigned long)(now - call->started_ms));
 	if (status == DY_STATUS_OK) {
-		++*door->acknowledged;
-		dy_http_answer_status(order->exchange, 200);
+		++*api->acknowledged;
+		dy_http_answer_status(call->exchange, 200);
 	} else if (status == DY_STATUS_MALFORMED) {
-		answer_invalid(door, order->exchange, message);
-	} else if (status != DY_STATUS_NOT_LEADER || !redirect(order)) {
-		answer_unavailable(door, order->exchange);
+		answer_invalid(api, call->exchange, message);
+	} else if (status != DY_STATUS_NOT_LEADER || !redirect(call)) {
+		answer_unavailable(api, call->exchange);
 	}
-	free_order(order);
+	destroy_call(call);
 }
 
 /*
- * Judged before any version is compared: what is invalid is refused also
- * where a higher version is in force, and by a control that does not lead.
+ * The configuration is validated before any version is compared: an invalid one
+ * is rejected also where a higher version is in force, and by a control that
+ * does not lead.
  */
-static void submit(operator_api_t *door, dy_http_exchange_t *exchange,
+static void submit(operator_api_t *api, dy_http_exchange_t *exchange,
 		   const dy_http_request_t *request)
 {
 	GError *error = NULL;
 	GByteArray *packed;
 	dy_flow_rules_t *rules;
-	order_t *order;
+	api_call_t *call;
 
-	++*door->submitted;
+	++*api->submitted;
 	rules = platform_configuration_parse(request->body, request->body_len,
 					     &error);
 	if (!rules) {
-		answer_invalid(door, exchange, error->message);
+		answer_invalid(api, exchange, error->message);
 		g_error_free(error);
 		return;
 	}
-	order = begin_order(door, exchange, request->path);
-	order->version = dy_flow_rules_version(rules);
+	call = create_call(api, exchange, request->path);
+	call->version = dy_flow_rules_version(rules);
 	dy_flow_rules_destroy(rules);
 	packed = dy_document_pack(request->body, request->body_len);
-	dy_control_publish(door->control, packed->data, packed->len,
-			   order->version, on_raised, order);
+	dy_control_publish(api->control, packed->data, packed->len,
+			   call->version, on_published, call);
 	g_byte_array_unref(packed);
 }
 
-static void on_loaded(void *context, dy_status_t status, const uint8_t *bytes,
-		      size_t size)
+static void on_document_read(void *context, dy_status_t status,
+			     const uint8_t *bytes, size_t size)
 {
-	order_t *order = context;
+	api_call_t *call = context;
 	dy_http_answer_t answer = { .status = 200 };
 	GByteArray *plain = NULL;
 
@@ -164,69 +166,69 @@
 	if (plain) {
 		answer.body = plain->data;
 		answer.body_len = plain->len;
-		dy_http_answer(order->exchange, &answer);
+		dy_http_answer(call->exchange, &answer);
 		g_byte_array_unref(plain);
-	} else if (status != DY_STATUS_NOT_LEADER || !redirect(order)) {
-		answer_unavailable(order->door, order->exchange);
+	} else if (status != DY_STATUS_NOT_LEADER || !redirect(call)) {
+		answer_unavailable(call->api, call->exchange);
 	}
-	free_order(order);
+	destroy_call(call);
 }
 
-static void read_configuration(operator_api_t *door,
+static void read_configuration(operator_api_t *api,
 			       dy_http_exchange_t *exchange,
 			       const dy_http_request_t *request)
 {
-	++*door->reads;
-	dy_control_read_document(door->control, on_loaded,
-				 begin_order(door, exchange, request->path));
+	++*api->reads;
+	dy_control_read_document(api->control, on_document_read,
+				 create_call(api, exchange, request->path));
 }
 
-static int is_wanted(void *context)
+static int is_caller_waiting(void *context)
 {
-	const order_t *order = context;
+	const api_call_t *call = context;
 
-	return !dy_http_is_abandoned(order->exchange);
+	return !dy_http_is_abandoned(call->exchange);
 }
 
-static void on_domain_ordered(void *context, dy_status_t status,
+static void on_domain_changed(void *context, dy_status_t status,
 			      const char *message)
 {
-	order_t *order = context;
-	operator_api_t *door = order->door;
-	uint64_t now = dy_loop_now_ms(door->loop);
+	api_call_t *call = context;
+	operator_api_t *api = call->api;
+	uint64_t now = dy_loop_now_ms(api->loop);
 
-	if (dy_log_allow(&door->limit, "domain_order_decided", now))
+	if (dy_log_allow(&api->limit, "domain_order_decided", now))
 		dy_log_event(DY_LOG_INFO, "domain_order_decided",
 			     "path=%s status=%d ms=%lu message=%s",
-			     dy_log_quote(order->path), status,
-			     (unsigned long)(now - order->began_ms),
+			     dy_log_quote(call->path), status,
+			     (unsigned long)(now - call->started_ms),
 			     dy_log_quote(message));
 	if (status == DY_STATUS_NOT_FOUND || status == DY_STATUS_CONFLICT)
-		++*door->domain_refused;
+		++*api->domain_changes_refused;
 	if (status == DY_STATUS_OK)
-		dy_http_answer_status(order->exchange, 200);
+		dy_http_answer_status(call->exchange, 200);
 	else if (status == DY_STATUS_NOT_FOUND)
-		dy_http_answer_status(order->exchange, 404);
+		dy_http_answer_status(call->exchange, 404);
 	else if (status == DY_STATUS_CONFLICT)
-		dy_http_answer_status(order->exchange, 409);
-	else if (status != DY_STATUS_NOT_LEADER || !redirect(order))
-		answer_unavailable(door, order->exchange);
-	free_order(order);
+		dy_http_answer_status(call->exchange, 409);
+	else if (status != DY_STATUS_NOT_LEADER || !redirect(call))
+		answer_unavailable(api, call->exchange);
+	destroy_call(call);
 }
 
-static void order_domain(operator_api_t *door, dy_http_exchange_t *exchange,
-			 const dy_http_request_t *request, const char *domain,
-			 int evacuated)
+static void change_domain(operator_api_t *api, dy_http_exchange_t *exchange,
+			  const dy_http_request_t *request, const char *domain,
+			  int evacuated)
 {
-	dy_domain_change_t order = { 0 };
-
-	++*door->domain_orders;
-	order.domain = domain;
-	order.evacuated = evacuated;
-	order.is_caller_waiting = is_wanted;
-	order.done = on_domain_ordered;
-	order.context = begin_order(door, exchange, request->path);
-	dy_control_change_domain(door->control, &order);
+	dy_domain_change_t change = { 0 };
+
+	++*api->domain_changes;
+	change.domain = domain;
+	change.evacuated = evacuated;
+	change.is_caller_waiting = is_caller_waiting;
+	change.done = on_domain_changed;
+	change.context = create_call(api, exchange, request->path);
+	dy_control_change_domain(api->control, &change);
 }
 
 static int is_served(platform_call_t call)
@@ -239,7 +241,7 @@
 static void on_request(void *context, dy_http_exchange_t *exchange,
 		       const dy_http_request_t *request)
 {
-	operator_api_t *door = context;
+	operator_api_t *api = context;
 	platform_call_t call;
 	const char *id;
 
@@ -252,63 +254,63 @@
 		dy_http_answer_status(exchange, 404);
 		return;
 	}
-	if (!door->control) {
-		answer_unavailable(door, exchange);
+	if (!api->control) {
+		answer_unavailable(api, exchange);
 		return;
 	}
 	if (call == PLATFORM_CALL_SUBMIT)
-		submit(door, exchange, request);
+		submit(api, exchange, request);
 	else if (call == PLATFORM_CALL_CONFIGURATION)
-		read_configuration(door, exchange, request);
+		read_configuration(api, exchange, request);
 	else
-		order_domain(door, exchange, request, id,
-			     call == PLATFORM_CALL_EVACUATE);
+		change_domain(api, exchange, request, id,
+			      call == PLATFORM_CALL_EVACUATE);
 }
 
 operator_api_t *operator_api_create(dy_loop_t *loop, dy_metrics_t *metrics,
 				    const dy_address_t *listen, GError **error)
 {
 	static const dy_log_limit_t limit = DY_LOG_LIMIT_INIT(50, 1000);
-	operator_api_t *door = g_new0(operator_api_t, 1);
+	operator_api_t *api = g_new0(operator_api_t, 1);
 	dy_http_config_t config = { 0 };
 
-	door->loop = loop;
-	door->listen = *listen;
-	door->limit = limit;
-	door->submitted = dy_metrics_counter(metrics, "configurations");
-	door->acknowledged =
+	api->loop = loop;
+	api->listen = *listen;
+	api->limit = limit;
+	api->submitted = dy_metrics_counter(metrics, "configurations");
+	api->acknowledged =
 		dy_metrics_counter(metrics, "configurations_acknowledged");
-	door->invalid = dy_metrics_counter(metrics, "configurations_invalid");
-	door->unavailable =
+	api->invalid = dy_metrics_counter(metrics, "configurations_invalid");
+	api->unavailable =
 		dy_metrics_counter(metrics, "configurations_unavailable");
-	door->redirected =
+	api->redirected =
 		dy_metrics_counter(metrics, "configurations_redirected");
-	door->reads = dy_metrics_counter(metrics, "configuration_reads");
-	door->domain_orders = dy_metrics_counter(metrics, "domain_orders");
-	door->domain_refused =
+	api->reads = dy_metrics_counter(metrics, "configuration_reads");
+	api->domain_changes = dy_metrics_counter(metrics, "domain_orders");
+	api->domain_changes_refused =
 		dy_metrics_counter(metrics, "domain_orders_refused");
 	config.listen = *listen;
 	config.body_max = BODY_MAX_BYTES;
 	config.handle = on_request;
-	config.context = door;
-	door->http = dy_http_server_create(loop, metrics, &config, error);
-	if (door->http)
-		return door;
-	g_free(door);
+	config.context = api;
+	api->http = dy_http_server_create(loop, metrics, &config, error);
+	if (api->http)
+		return api;
+	g_free(api);
 	return NULL;
 }
 
-void operator_api_destroy(operator_api_t *door)
+void operator_api_destroy(operator_api_t *api)
 {
-	if (!door)
+	if (!api)
 		return;
-	dy_http_server_destroy(door->http);
-	g_free(door);
+	dy_http_server_destroy(api->http);
+	g_free(api);
 }
 
-void operator_api_set_control(operator_api_t *door, dy_control_t *control)
+void operator_api_set_control(operator_api_t *api, dy_control_t *control)
 {
-	door->control = control;
+	api->control = control;
 }
 
 int operator_api_check_document(void *context, const uint8_t *bytes,
@@ -320,7 +322,8 @@
 
 	(void)context;
 	if (!plain) {
-		g_strlcpy(message, "it is damaged", message_size);
+		g_strlcpy(message, "the compressed document is damaged",
+			  message_size);
 		return 0;
 	}
 	rules = platform_configuration_parse(plain->data, plain->len, &error);
--- a/src/process/control/operator_api.h
+++ b/src/process/control/operator_api.h
@@ -2,9 +2,10 @@
 #define DAMASKYARD_OPERATOR_API_H
 
 /*
- * The platform's operator at a control: submits configurations and reads the
- * one in force, over HTTP. Any control may be called; one that does not lead
- * names the leader.
+ * The HTTP interface for the platform's operators at a control: it submits
+ * configurations, reads the configuration in force, and evacuates and readmits
+ * failure domains. Any control accepts calls; one that does not lead redirects
+ * to the leader.
  */
 
 #include "damaskyard/control.h"
@@ -13,18 +14,22 @@
 typedef struct operator_api operator_api_t;
 
 /*
- * Open the door at listen. The control is asked by reference and must be
- * destroyed before the door, so that all that waits is answered. Returns NULL
- * with error set if the address cannot be bound.
+ * Creates the interface, listening at listen. Returns NULL with error set if
+ * the address cannot be bound. Destroy the control before the interface, so
+ * that all pending calls are answered.
  */
 operator_api_t *operator_api_create(dy_loop_t *loop, dy_metrics_t *metrics,
 				    const dy_address_t *listen, GError **error);
-void operator_api_destroy(operator_api_t *door);
+/* Closes the interface; NULL is allowed. */
+void operator_api_destroy(operator_api_t *api);
 
-/* Serve from now on, or answer 503 to all with NULL. */
-void operator_api_set_control(operator_api_t *door, dy_control_t *control);
+/* Sets the control, kept by reference; NULL: all calls get status 503. */
+void operator_api_set_control(operator_api_t *api, dy_control_t *control);
 
-/* A dy_control_options_t's check: the platform's configuration. */
+/*
+ * Validates a platform configuration; a `check` of dy_control_options_t, which
+ * describes the arguments and the result.
+ */
 int operator_api_check_document(void *context, const uint8_t *bytes,
 				size_t size, char *message,
 				size_t message_size);
--- a/src/process/control/recent_documents.c
+++ b/src/process/control/recent_documents.c
@@ -13,7 +13,7 @@
 struct recent_documents {
 	recent_document_t documents[RECENT_DOCUMENTS_MAX];
 	unsigned next;
-	int compared; /* the three below are set */
+	int compared; /* the three fields below are valid */
 	uint8_t compared_base[DY_DIGEST_BYTES];
 	uint8_t compared_newer[DY_DIGEST_BYTES];
 	dy_document_patch_t patch;
--- a/src/process/control/recent_documents.h
+++ b/src/process/control/recent_documents.h
@@ -2,11 +2,11 @@
 #define DAMASKYARD_RECENT_DOCUMENTS_H
 
 /*
- * Documents that a control gave out lately, so that a member which holds one
- * of them fetches only what a newer one changes.
+ * Cache of the documents that a control sent recently. A member that holds one
+ * of them fetches only the difference to a newer one.
  *
- * Not replicated: a control that does not hold the base gives the newer
- * document whole.
+ * The cache is not replicated: a control without the base document sends the
+ * newer document in full.
  */
 
 #include <stdint.h>
@@ -15,25 +15,31 @@
 #include "dy_control.h"
 
 /*
- * Two environments, the one in force and the one before: what members hold
- * that polled within the last change. At the users' target a region's
- * documents are half a megabyte each.
+ * Two environments with the document in force and the one before: what members
+ * hold that polled within the last change. At the users' target scale a
+ * region's documents take half a megabyte each.
  */
 #define RECENT_DOCUMENTS_MAX 4
 
 typedef struct recent_documents recent_documents_t;
 
+/* Creates an empty cache. */
 recent_documents_t *recent_documents_create(void);
+/* Frees the cache; NULL is allowed. */
 void recent_documents_destroy(recent_documents_t *recent);
 
-/* Keep a copy, in place of the one kept longest, if it is not kept yet. */
+/*
+ * Stores a copy of the document unless it is cached already. Replaces the entry
+ * that was added first.
+ */
 void recent_documents_add(recent_documents_t *recent, const void *digest,
 			  const uint8_t *bytes, uint32_t len);
 
 /*
- * Find what a document changes in the one named by base; the whole of it if
- * base is not kept. The newest comparison is remembered, since after a change
- * all members ask for the same one.
+ * Sets patch to the difference between the document base and the document
+ * newer, whose bytes are given; to the whole of it if base is not cached. base
+ * and newer are digests of DY_DIGEST_BYTES. Caches the last comparison, because
+ * after a change all members request the same one.
  */
 void recent_documents_compare(recent_documents_t *recent, const void *base,
 			      const void *newer, const uint8_t *bytes,
--- a/src/process/control/uploads.c
+++ b/src/process/control/uploads.c
@@ -6,10 +6,10 @@
 
 typedef struct upload {
 	uint8_t digest[DY_DIGEST_BYTES];
-	uint32_t size; /* 0: free */
-	uint32_t have;
+	uint32_t size; /* 0: unused */
+	uint32_t received;
 	uint8_t *bytes;
-	uint64_t used_ms;
+	uint64_t last_page_ms;
 } upload_t;
 
 struct uploads {
@@ -56,7 +56,7 @@
 
 	for (i = 1; i < UPLOADS_MAX && oldest->size; i++)
 		if (!uploads->items[i].size ||
-		    uploads->items[i].used_ms < oldest->used_ms)
+		    uploads->items[i].last_page_ms < oldest->last_page_ms)
 			oldest = &uploads->items[i];
 	drop_upload(oldest);
 	memcpy(oldest->digest, put->digest, DY_DIGEST_BYTES);
@@ -78,14 +78,14 @@
 		return DY_STATUS_NOT_FOUND;
 	if (!upload)
 		upload = begin_upload(uploads, put);
-	upload->used_ms = now_ms;
-	if (put->offset > upload->have)
+	upload->last_page_ms = now_ms;
+	if (put->offset > upload->received)
 		return DY_STATUS_NOT_FOUND;
-	if (put->offset < upload->have)
+	if (put->offset < upload->received)
 		return DY_STATUS_OK;
-	upload->bytes = g_realloc(upload->bytes, upload->have + len);
-	memcpy(upload->bytes + upload->have, put->page.page_val, len);
-	upload->have += len;
+	upload->bytes = g_realloc(upload->bytes, upload->received + len);
+	memcpy(upload->bytes + upload->received, put->page.page_val, len);
+	upload->received += len;
 	return DY_STATUS_OK;
 }
 
@@ -94,7 +94,7 @@
 {
 	const upload_t *upload = find_upload(uploads, digest);
 
-	if (!upload || upload->have < upload->size)
+	if (!upload || upload->received < upload->size)
 		return NULL;
 	*size = upload->size;
 	return upload->bytes;
@@ -107,7 +107,8 @@
 
 	for (i = 0; i < UPLOADS_MAX; i++) {
 		if (!uploads->items[i].size ||
-		    now_ms - uploads->items[i].used_ms < UPLOAD_IDLE_MS)
+		    now_ms - uploads->items[i].last_page_ms <
+			    UPLOAD_IDLE_TIMEOUT_MS)
 			continue;
 		drop_upload(&uploads->items[i]);
 		dropped++;
--- a/src/process/control/uploads.h
+++ b/src/process/control/uploads.h
@@ -2,8 +2,9 @@
 #define DAMASKYARD_UPLOADS_H
 
 /*
- * Documents that operators are putting, page by page, in the memory of the
- * leader until they submit them. A lost upload is put again.
+ * Documents that operators upload page by page. They stay in the leader's
+ * memory until the operator submits them. An operator repeats an upload that is
+ * lost.
  */
 
 #include <stddef.h>
@@ -11,30 +12,36 @@
 
 #include "dy_control.h"
 
-/* Operators at once; the one that was idle longest makes room for a fifth. */
+/* Concurrent uploads; a fifth evicts the one that has been idle longest. */
 #define UPLOADS_MAX 4
 
-/* An upload whose operator is silent for so long is dropped, in ms. */
-#define UPLOAD_IDLE_MS 60000
+/* An upload is dropped after this time without a new page. */
+#define UPLOAD_IDLE_TIMEOUT_MS 60000
 
 typedef struct uploads uploads_t;
 
+/* Creates an empty set of uploads. */
 uploads_t *uploads_create(void);
+/* Frees all uploads; NULL is allowed. */
 void uploads_destroy(uploads_t *uploads);
 
 /*
- * Add a page; pages come in order, and one that stands already changes
- * nothing. Returns OK, MALFORMED for a wrong size or offset, or NOT_FOUND if
- * an earlier page is missing: then begin again.
+ * Adds a page at time now_ms. Pages arrive in order; a page that is present
+ * already changes nothing. Returns OK, MALFORMED for a wrong size or offset, or
+ * NOT_FOUND if an earlier page is missing: the operator then restarts the
+ * upload.
  */
 dy_status_t uploads_add(uploads_t *uploads, const dy_put_t *put,
 			uint64_t now_ms);
 
-/* Find a whole upload by digest, or NULL. */
+/*
+ * Returns the bytes of the complete upload with this digest and sets size, or
+ * returns NULL. The bytes stay owned by uploads.
+ */
 const uint8_t *uploads_find(const uploads_t *uploads, const char *digest,
 			    uint32_t *size);
 
-/* Drop those that were idle for too long; returns how many. */
+/* Drops idle uploads; returns how many. */
 unsigned uploads_expire(uploads_t *uploads, uint64_t now_ms);
 
 #endif
--- a/tests/test_uploads.c
+++ b/tests/test_uploads.c
@@ -25,10 +25,10 @@
 }
 
 /*
- * Pages are lost, doubled and come late. A document with a hole, or with a
- * page in twice, would be submitted under the right digest.
+ * Guards against a document with a missing or repeated page under the correct
+ * digest: pages are lost, duplicated and delayed.
  */
-START_TEST(pages_that_come_twice_or_early_leave_no_trace)
+START_TEST(ignores_duplicate_and_early_pages)
 {
 	uint32_t size;
 
@@ -45,8 +45,11 @@
 }
 END_TEST
 
-/* Sizes that lie must neither be allocated nor written past the end. */
-START_TEST(wrong_sizes_are_refused)
+/*
+ * Guards against false sizes that cause a large allocation or a write past the
+ * end.
+ */
+START_TEST(refuses_wrong_sizes)
 {
 	uploads = uploads_create();
 	ck_assert_int_eq(put(1, "a", 0, 0, 0), DY_STATUS_MALFORMED);
@@ -61,8 +64,10 @@
 }
 END_TEST
 
-/* Uploads that nobody submits must not fill the leader's memory. */
-START_TEST(uploads_are_bounded_in_number_and_time)
+/*
+ * Guards against uploads that are never submitted and fill the leader's memory.
+ */
+START_TEST(bounds_number_and_idle_time_of_uploads)
 {
 	uint32_t size;
 	char i;
@@ -72,9 +77,10 @@
 		ck_assert_int_eq(put(i, "a", 1, 0, (uint64_t)i), DY_STATUS_OK);
 	ck_assert_ptr_null(find(1, &size));
 	ck_assert_ptr_nonnull(find(2, &size));
-	ck_assert_uint_eq(uploads_expire(uploads, UPLOAD_IDLE_MS + 2), 1);
+	ck_assert_uint_eq(uploads_expire(uploads, UPLOAD_IDLE_TIMEOUT_MS + 2),
+			  1);
 	ck_assert_ptr_null(find(2, &size));
-	ck_assert_uint_eq(uploads_expire(uploads, 2 * UPLOAD_IDLE_MS),
+	ck_assert_uint_eq(uploads_expire(uploads, 2 * UPLOAD_IDLE_TIMEOUT_MS),
 			  UPLOADS_MAX - 1);
 	uploads_destroy(uploads);
 }
@@ -83,9 +89,9 @@
 int main(void)
 {
 	const TTest *const tests[] = {
-		pages_that_come_twice_or_early_leave_no_trace,
-		wrong_sizes_are_refused,
-		uploads_are_bounded_in_number_and_time,
+		ignores_duplicate_and_early_pages,
+		refuses_wrong_sizes,
+		bounds_number_and_idle_time_of_uploads,
 		NULL,
 	};
 
