--- a/src/process/control/control.c
+++ b/src/process/control/control.c
@@ -13,12 +13,12 @@
 }
 
 /*
- * Guards against a group that acknowledges while it is being founded: with
- * two of three voters the loss of one disk leaves nobody who could be elected,
- * or take another in. Once it has served, a majority of the listed controls is
- * enough: a voter that lost its disk is out for a moment until it is replaced.
+ * Guards against a group that acknowledges changes during its bootstrap: with
+ * two of three voters, the loss of one disk leaves no voter that can be elected
+ * or add another. After the group has served, a majority of the listed controls
+ * is enough: a voter that lost its disk does not vote until it is replaced.
  */
-static unsigned least_voters(const dy_control_t *control)
+static unsigned min_serving_voters(const dy_control_t *control)
 {
 	if (control->options.dynamic_membership &&
 	    !dy_registry_index(control->registry))
@@ -29,10 +29,10 @@
 int control_serves(const dy_control_t *control)
 {
 	return dy_raft_role(control->raft) == DY_RAFT_LEADER &&
-	       control_count_voters(control) >= least_voters(control);
+	       control_count_voters(control) >= min_serving_voters(control);
 }
 
-void control_show_leader(const dy_control_t *control, dy_address_t *leader)
+void control_leader_address(const dy_control_t *control, dy_address_t *leader)
 {
 	dy_voter_id_t id = dy_raft_leader(control->raft);
 
@@ -41,7 +41,8 @@
 		*leader = control->options.peers.slots[id.slot];
 }
 
-dy_status_t control_status_of(dy_control_t *control, dy_raft_result_t result)
+dy_status_t control_status_from_result(dy_control_t *control,
+				       dy_raft_result_t result)
 {
 	if (result == DY_RAFT_DONE)
 		return DY_STATUS_OK;
@@ -125,8 +126,9 @@
 void control_drop_request(request_t *request)
 {
 	xdr_free(request->proc, (char *)&request->args);
-	control_intake_end(request->control->intake,
-			   (struct sockaddr *)&request->from, request->xid);
+	control_poll_queue_finish(request->control->poll_queue,
+				  (struct sockaddr *)&request->from,
+				  request->xid);
 	dy_list_remove(&request->link);
 	request->control->request_count--;
 	g_free(request);
@@ -158,7 +160,7 @@
 		control_fetch(control, message, from);
 		return;
 	case DY_CONTROL_IMAGE:
-		control_images_ask(control->images, message, from);
+		control_images_answer(control->images, message, from);
 		return;
 	case DY_CONTROL_PUT:
 		control_put(control, message, from);
@@ -197,7 +199,7 @@
 		++*control->counters.truncated;
 		return;
 	}
-	if (control_intake_take(control->intake, bytes, len, from))
+	if (control_poll_queue_put(control->poll_queue, bytes, len, from))
 		return;
 	if (dy_seal_open(control->seal, bytes, len, &message) != DY_SEAL_OK ||
 	    message.is_reply)
@@ -246,7 +248,8 @@
 	return dy_registry_load(control->registry, read, read_context);
 }
 
-static void on_changed(void *context, dy_raft_role_t role, dy_voter_id_t leader)
+static void on_role_changed(void *context, dy_raft_role_t role,
+			    dy_voter_id_t leader)
 {
 	static const char *const names[] = { "follower", "pre_candidate",
 					     "candidate", "leader" };
@@ -254,20 +257,21 @@
 
 	dy_log_event(DY_LOG_INFO, "role_changed", "role_now=%s leader=%u",
 		     names[role], leader.slot);
-	control_intake_lead(control->intake, role == DY_RAFT_LEADER);
+	control_poll_queue_set_leading(control->poll_queue,
+				       role == DY_RAFT_LEADER);
 	if (role != DY_RAFT_LEADER)
 		return;
-	++*control->counters.led;
-	control->key_proposed = 0;
-	control->tried_proposed = 0;
+	++*control->counters.elections_won;
+	control->key_step_pending = 0;
+	control->tried_pending = 0;
 	dy_registry_restart_leases(control->registry);
 }
 
 /*
- * Guards against a control that acknowledges what its disk did not take: it
- * stops, and the others carry on.
+ * Guards against acknowledging entries that the disk did not store: the control
+ * stops, and the other controls continue.
  */
-static void on_failed(void *context, const GError *error)
+static void on_disk_failed(void *context, const GError *error)
 {
 	dy_control_t *control = context;
 
@@ -275,12 +279,12 @@
 	dy_log_event(DY_LOG_ERROR, "disk_failed", "message=%s",
 		     dy_log_quote(error->message));
 	control->failed = 1;
-	control_end(control, DY_CONTROL_DISK_FAILED);
+	control_terminate(control, DY_CONTROL_DISK_FAILED);
 }
 
-void control_end(dy_control_t *control, dy_control_exit_reason_t end)
+void control_terminate(dy_control_t *control, dy_control_exit_reason_t reason)
 {
-	control->end = end;
+	control->exit_reason = reason;
 	dy_loop_end(control->loop);
 }
 
@@ -308,7 +312,7 @@
 	dy_document_t *document;
 	GError *error = NULL;
 
-	/* Judged before it was proposed; see dy_control_options_t. */
+	/* Validated before it was proposed; see dy_control_options_t. */
 	if (control->options.check)
 		return 1;
 	document = dy_document_parse(bytes, size, &error);
@@ -348,11 +352,11 @@
 	control_refresh_peers(control);
 	dy_raft_tick(control->raft, now);
 	control_ledger_tick(control->ledger);
-	control_intake_tick(control->intake);
-	if (now - control->reviewed_ms < REVIEW_MS)
+	control_poll_queue_tick(control->poll_queue);
+	if (now - control->last_review_ms < REVIEW_INTERVAL_MS)
 		return;
 	control_review(control);
-	control->reviewed_ms = now;
+	control->last_review_ms = now;
 }
 
 static int open_store(dy_control_t *control, GError **error)
@@ -379,8 +383,8 @@
 		.apply = on_apply,
 		.write_snapshot = on_write_snapshot,
 		.load_snapshot = on_load_snapshot,
-		.leadership_changed = on_changed,
-		.failed = on_failed,
+		.leadership_changed = on_role_changed,
+		.failed = on_disk_failed,
 	};
 	dy_raft_options_t options = { 0 };
 
@@ -412,7 +416,9 @@
 	g_free(handle);
 }
 
-/* The loop may close and free them after the control. */
+/*
+ * The loop closes and frees the handles, possibly after the control is freed.
+ */
 static void stop_flushing(dy_control_t *control)
 {
 	if (!control->prepare)
@@ -438,17 +444,17 @@
 	control->loop = loop;
 	control->metrics = metrics;
 	control->started_ms = control_now_ms(control);
-	control->reviewed_ms = control->started_ms;
+	control->last_review_ms = control->started_ms;
 	dy_list_init(&control->requests);
 	control_register_counters(control);
-	bootstrap_init(&control->founding, &control->options.peers,
+	bootstrap_init(&control->bootstrap, &control->options.peers,
 		       options->slot);
 	control->seal = dy_seal_create(&options->secrets, metrics);
 	control->uploads = uploads_create();
-	control->recent = recent_documents_create();
+	control->recent_documents = recent_documents_create();
 	control->services = control_services_create();
-	control->raises = control_raises_create(control);
-	control->intake = control_intake_create(control);
+	control->publisher = control_publisher_create(control);
+	control->poll_queue = control_poll_queue_create(control);
 	control->images = control_images_create(control);
 	control->registry = dy_registry_create(&callbacks);
 	dy_registry_set_clock(control->registry, control_now_ms(control));
@@ -461,7 +467,7 @@
 	}
 	control->ledger = control_ledger_create(control);
 	start_flushing(control);
-	dy_loop_every(loop, TICK_MS, on_tick, control);
+	dy_loop_every(loop, TICK_INTERVAL_MS, on_tick, control);
 	dy_log_event(DY_LOG_INFO, "control_started",
 		     "slot=%u identity=%lx torn_bytes=%lu", options->slot,
 		     (unsigned long)dy_store_id(control->store).identity,
@@ -477,13 +483,13 @@
 	if (!control)
 		return;
 	stop_flushing(control);
-	control_raises_close(control->raises);
+	control_publisher_close(control->publisher);
 	if (control->raft)
 		dy_raft_destroy(control->raft);
-	control_raises_destroy(control->raises);
+	control_publisher_destroy(control->publisher);
 	DY_LIST_EACH_SAFE(pos, tmp, &control->requests)
 	control_drop_request(DY_LIST_ITEM(pos, request_t, link));
-	control_intake_destroy(control->intake);
+	control_poll_queue_destroy(control->poll_queue);
 	control_images_destroy(control->images);
 	dy_endpoint_destroy(control->endpoint);
 	control_ledger_destroy(control->ledger);
@@ -491,7 +497,7 @@
 	dy_disk_destroy(control->disk);
 	dy_registry_destroy(control->registry);
 	uploads_destroy(control->uploads);
-	recent_documents_destroy(control->recent);
+	recent_documents_destroy(control->recent_documents);
 	control_services_destroy(control->services);
 	dy_seal_destroy(control->seal);
 	g_free(control);
@@ -501,19 +507,19 @@
 {
 	dy_control_t *control = context;
 
-	if (control->stop_at_ms)
+	if (control->stop_deadline_ms)
 		return;
-	control->stop_at_ms = control_now_ms(control) + STOP_MS;
+	control->stop_deadline_ms = control_now_ms(control) + STOP_TIMEOUT_MS;
 	dy_log_event(DY_LOG_INFO, "control_stopping", "requests=%u",
 		     control->request_count);
 }
 
 dy_control_exit_reason_t dy_control_exit_reason(const dy_control_t *control)
 {
-	return control->end;
+	return control->exit_reason;
 }
 
 void dy_control_leader(const dy_control_t *control, dy_address_t *leader)
 {
-	control_show_leader(control, leader);
+	control_leader_address(control, leader);
 }
--- a/src/process/control/control_change.c
+++ b/src/process/control/control_change.c
@@ -1,6 +1,4 @@
-/*
- * Documents and operators' changes.
- */
+/* Document transfer and operators' changes. */
 
 #include <string.h>
 
@@ -22,7 +20,7 @@
 		MIN(patch->size - args->offset, (uint32_t)DY_PAGE_BYTES);
 }
 
-/* Only what differs from the member's own document, if that is at hand. */
+/* Sends only the difference to the member's own document, if that is cached. */
 static void fill_fetch(dy_control_t *control, const dy_fetch_t *args,
 		       dy_fetch_result_t *result)
 {
@@ -40,13 +38,14 @@
 		result->status = DY_STATUS_NOT_FOUND;
 		return;
 	}
-	recent_documents_add(control->recent, args->digest, bytes, patch.size);
-	recent_documents_compare(control->recent, args->base, args->digest,
-				 bytes, patch.size, &patch);
+	recent_documents_add(control->recent_documents, args->digest, bytes,
+			     patch.size);
+	recent_documents_compare(control->recent_documents, args->base,
+				 args->digest, bytes, patch.size, &patch);
 	fill_page(args, bytes, &patch, result);
 }
 
-/* Content is named by its digest: any control's copy is the same. */
+/* Content is addressed by digest, so any control can serve it. */
 void control_fetch(dy_control_t *control, const dy_sealed_t *message,
 		   const struct sockaddr *from)
 {
@@ -91,7 +90,7 @@
 {
 	dy_change_result_t result = *decided;
 
-	control_show_leader(request->control, &result.leader);
+	control_leader_address(request->control, &result.leader);
 	if (!result.operator_name)
 		result.operator_name = "";
 	if (!result.message)
@@ -118,8 +117,9 @@
 
 	(void)index;
 	if (result != DY_RAFT_DONE) {
-		refuse_change(request, control_status_of(control, result),
-			      "the group lost its leader meanwhile");
+		refuse_change(
+			request, control_status_from_result(control, result),
+			"the leader changed before the change was committed");
 		return;
 	}
 	answer = dy_registry_find_answer(control->registry,
@@ -136,7 +136,8 @@
 	answer_change(request, answer);
 }
 
-static void on_page(void *context, dy_raft_result_t result, uint64_t index)
+static void on_page_committed(void *context, dy_raft_result_t result,
+			      uint64_t index)
 {
 	(void)context;
 	(void)result;
@@ -160,13 +161,17 @@
 		page->bytes.bytes_val = (char *)bytes + offset;
 		page->bytes.bytes_len =
 			MIN(size - offset, (uint32_t)DY_CONTENT_PAGE_BYTES);
-		result = control_propose(control, &command, on_page, NULL);
+		result = control_propose(control, &command, on_page_committed,
+					 NULL);
 	}
 	return result;
 }
 
-/* Whether the request was answered here already. */
-static int bring_content(request_t *request)
+/*
+ * Proposes the uploaded bytes unless the registry holds them. Returns 1 if it
+ * failed and has answered the request.
+ */
+static int ensure_content(request_t *request)
 {
 	dy_control_t *control = request->control;
 	const char *digest = request->args.change.digest;
@@ -181,7 +186,7 @@
 	bytes = uploads_find(control->uploads, digest, &size);
 	if (!bytes) {
 		refuse_change(request, DY_STATUS_NOT_FOUND,
-			      "put the document's bytes first");
+			      "the document is not uploaded; upload it first");
 		return 1;
 	}
 	if (control->options.check &&
@@ -193,12 +198,12 @@
 	result = control_propose_content(control, digest, bytes, size);
 	if (result == DY_RAFT_DONE)
 		return 0;
-	refuse_change(request, control_status_of(control, result),
-		      "the group cannot take it just now");
+	refuse_change(request, control_status_from_result(control, result),
+		      "the group accepts no changes at the moment; try again");
 	return 1;
 }
 
-static int orders_domain(const request_t *request)
+static int is_domain_change(const request_t *request)
 {
 	return request->args.change.kind == DY_CHANGE_EVACUATE ||
 	       request->args.change.kind == DY_CHANGE_READMIT;
@@ -213,27 +218,28 @@
 
 	if ((request->args.change.kind == DY_CHANGE_SUBMIT ||
 	     request->args.change.kind == DY_CHANGE_RAISE) &&
-	    bring_content(request))
+	    ensure_content(request))
 		return;
-	if (orders_domain(request) &&
-	    !control_knows_domain(control, request->args.change.name)) {
+	if (is_domain_change(request) &&
+	    !control_has_domain(control, request->args.change.name)) {
 		refuse_change(request, DY_STATUS_NOT_FOUND,
-			      "there is no such failure domain");
+			      "unknown failure domain");
 		return;
 	}
 	if (request->args.change.kind == DY_CHANGE_PROMOTE)
-		control_try_document(control, 1);
+		control_propose_tried(control, 1);
 	args->change = request->args.change;
 	dy_random_fill(args->salt, sizeof(args->salt));
 	result = control_propose(control, &command, on_committed, request);
 	if (result != DY_RAFT_DONE)
-		refuse_change(request, control_status_of(control, result),
-			      "the group cannot take it just now");
+		refuse_change(
+			request, control_status_from_result(control, result),
+			"the group accepts no changes at the moment; try again");
 }
 
 /*
- * A request that was answered before gets that answer again, also if its
- * bytes are long gone and from a leader that never saw it.
+ * A request that was answered before gets the same answer again, also if its
+ * uploaded bytes have expired and if this leader never received it.
  */
 static void on_confirmed(void *context, dy_raft_result_t result, uint64_t index)
 {
@@ -243,8 +249,9 @@
 
 	(void)index;
 	if (result != DY_RAFT_DONE) {
-		refuse_change(request, control_status_of(control, result),
-			      "no majority of the group answers");
+		refuse_change(
+			request, control_status_from_result(control, result),
+			"no majority of the controls confirmed the leader");
 		return;
 	}
 	answer = dy_registry_find_answer(control->registry,
@@ -273,6 +280,7 @@
 	if (result == DY_RAFT_DONE)
 		result = dy_raft_read(control->raft, on_confirmed, request);
 	if (result != DY_RAFT_DONE)
-		refuse_change(request, control_status_of(control, result),
-			      "this control does not serve just now");
+		refuse_change(request,
+			      control_status_from_result(control, result),
+			      "this control is not serving at the moment");
 }
--- a/src/process/control/control_counters.c
+++ b/src/process/control/control_counters.c
@@ -1,4 +1,4 @@
-/* Names of the counters; docs/CONTROL.md says what they mean. */
+/* Names of the counters; docs/CONTROL.md describes them. */
 
 #include "control_private.h"
 
@@ -7,7 +7,7 @@
 	const dy_metrics_entry_t entries[] = {
 		{ "control_polls", &control->counters.polls },
 		{ "control_fetches", &control->counters.fetches },
-		{ "control_image_asks", &control->counters.image_asks },
+		{ "control_image_asks", &control->counters.image_requests },
 		{ "control_images", &control->counters.images },
 		{ "control_puts", &control->counters.puts },
 		{ "control_changes", &control->counters.changes },
@@ -24,8 +24,8 @@
 		{ "control_polls_shed", &control->counters.polls_shed },
 		{ "control_invitations", &control->counters.invitations },
 		{ "uploads_dropped", &control->counters.uploads_dropped },
-		{ "leader_elected", &control->counters.led },
-		{ "group_founded", &control->counters.founded },
+		{ "leader_elected", &control->counters.elections_won },
+		{ "group_founded", &control->counters.groups_bootstrapped },
 		{ "learner_added", &control->counters.learners_added },
 		{ "control_promoted", &control->counters.members_promoted },
 		{ "control_removed", &control->counters.members_removed },
@@ -33,11 +33,12 @@
 		{ "disk_failed", &control->counters.disk_failures },
 		{ "snapshots_written", &control->counters.snapshots },
 		{ "ledger_not_written", &control->counters.ledger_failures },
-		{ "promoted_untried", &control->counters.untried },
+		{ "promoted_untried", &control->counters.promoted_untried },
 	};
 	static const dy_log_limit_t limit = DY_LOG_LIMIT_INIT(100, 1000);
 	static const dy_log_limit_t rare = DY_LOG_LIMIT_INIT(3, 10000);
-	static const dy_log_limit_t one = DY_LOG_LIMIT_INIT(1, WAITING_MS);
+	static const dy_log_limit_t one =
+		DY_LOG_LIMIT_INIT(1, JOIN_WAIT_LOG_INTERVAL_MS);
 	size_t i;
 
 	dy_metrics_counters(control->metrics, entries, G_N_ELEMENTS(entries));
--- a/src/process/control/control_domain.c
+++ b/src/process/control/control_domain.c
@@ -1,5 +1,6 @@
 /*
- * Operators' orders on failure domains: evacuated ones take no new flows.
+ * Evacuation and readmission of failure domains. Targets in an evacuated domain
+ * get no new flows.
  */
 
 #include <string.h>
@@ -7,31 +8,32 @@
 #include "control_private.h"
 #include "damaskyard/invariant.h"
 
-/* An order that waits for the log. */
-typedef struct pending {
+/* A change that waits for the log. */
+typedef struct domain_request {
 	dy_control_t *control;
-	dy_domain_change_t order;
+	dy_domain_change_t change;
 	char domain[DY_NAME_BYTES + 1];
-	char request[16];
-} pending_t;
+	char request_id[16];
+} domain_request_t;
 
-/* The targets of a service that take new flows. */
+/* Number of a service's targets that accept new flows. */
 typedef struct service_count {
-	unsigned left;	    /* outside of evacuated domains */
-	unsigned evacuated; /* in the domain that the order names */
+	unsigned remaining; /* outside of evacuated domains */
+	unsigned evacuated; /* in the domain that the change names */
 } service_count_t;
 
 typedef struct tally {
 	const dy_control_t *control;
 	const char *domain;
-	GHashTable *services; /* interned name: service_count_t, owned */
+	GHashTable *services; /* by interned name: service_count_t, owned */
 } tally_t;
 
-int control_knows_domain(const dy_control_t *control, const char *domain)
+int control_has_domain(const dy_control_t *control, const char *domain)
 {
-	char **known = control->options.domains;
+	char **configured = control->options.domains;
 
-	if (known && g_strv_contains((const char *const *)known, domain))
+	if (configured &&
+	    g_strv_contains((const char *const *)configured, domain))
 		return 1;
 	return dy_registry_has_domain(control->registry, domain);
 }
@@ -53,7 +55,7 @@
 		count->evacuated++;
 	else if (!dy_registry_is_evacuated(tally->control->registry,
 					   member->domain))
-		count->left++;
+		count->remaining++;
 }
 
 void control_log_evacuation(dy_control_t *control, const char *domain)
@@ -72,117 +74,123 @@
 		count = value;
 		if (!count->evacuated)
 			continue;
-		dy_log_event(count->left ? DY_LOG_INFO : DY_LOG_WARN,
+		dy_log_event(count->remaining ? DY_LOG_INFO : DY_LOG_WARN,
 			     "evacuation_leaves",
 			     "domain=%s service=%s targets=%u evacuated=%u",
 			     dy_log_quote(domain), dy_log_quote(service),
-			     count->left, count->evacuated);
+			     count->remaining, count->evacuated);
 	}
 	g_hash_table_destroy(tally.services);
 }
 
-static void end_order(pending_t *pending, dy_status_t status,
-		      const char *message)
+static void finish_request(domain_request_t *request, dy_status_t status,
+			   const char *message)
 {
-	pending->order.done(pending->order.context, status, message);
-	g_free(pending);
+	request->change.done(request->change.context, status, message);
+	g_free(request);
 }
 
 static void on_committed(void *context, dy_raft_result_t result, uint64_t index)
 {
-	pending_t *pending = context;
-	dy_control_t *control = pending->control;
+	domain_request_t *request = context;
+	dy_control_t *control = request->control;
 	const dy_change_result_t *answer;
 
 	if (result != DY_RAFT_DONE) {
-		end_order(pending, control_status_of(control, result),
-			  "the group lost its leader meanwhile");
+		finish_request(
+			request, control_status_from_result(control, result),
+			"the leader changed before the change was committed");
 		return;
 	}
-	answer = dy_registry_find_answer(control->registry, pending->request);
+	answer =
+		dy_registry_find_answer(control->registry, request->request_id);
 	dy_assert(answer);
 	dy_log_event(DY_LOG_INFO, "domain_ordered",
 		     "domain=%s evacuated=%d status=%d index=%lu",
-		     dy_log_quote(pending->domain), pending->order.evacuated,
+		     dy_log_quote(request->domain), request->change.evacuated,
 		     answer->status, (unsigned long)index);
-	if (answer->status == DY_STATUS_OK && pending->order.evacuated)
-		control_log_evacuation(control, pending->domain);
-	end_order(pending, answer->status, answer->message);
+	if (answer->status == DY_STATUS_OK && request->change.evacuated)
+		control_log_evacuation(control, request->domain);
+	finish_request(request, answer->status, answer->message);
 }
 
-static void propose(pending_t *pending)
+static void propose(domain_request_t *request)
 {
 	dy_command_t command = { .kind = DY_COMMAND_CHANGE };
 	dy_change_t *change = &command.dy_command_t_u.change.change;
 	dy_raft_result_t result;
 
-	dy_random_fill(pending->request, sizeof(pending->request));
-	change->kind = pending->order.evacuated ? DY_CHANGE_EVACUATE
-						: DY_CHANGE_READMIT;
-	memcpy(change->request, pending->request, sizeof(change->request));
+	dy_random_fill(request->request_id, sizeof(request->request_id));
+	change->kind = request->change.evacuated ? DY_CHANGE_EVACUATE
+						 : DY_CHANGE_READMIT;
+	memcpy(change->request, request->request_id, sizeof(change->request));
 	change->operator_name = "";
 	change->environment = "";
-	change->name = pending->domain;
-	result = control_propose(pending->control, &command, on_committed,
-				 pending);
+	change->name = request->domain;
+	result = control_propose(request->control, &command, on_committed,
+				 request);
 	if (result != DY_RAFT_DONE)
-		end_order(pending, control_status_of(pending->control, result),
-			  "the group cannot take it just now");
+		finish_request(
+			request,
+			control_status_from_result(request->control, result),
+			"the group accepts no changes at the moment; try again");
 }
 
 /*
- * Guards against an order that stood in the sockets of a control which was
- * stopped for a while: its caller has sent it elsewhere since, and perhaps
- * withdrawn it, so that it would undo a later order.
+ * Guards against a change that was buffered in the sockets of a suspended
+ * control: its caller has since sent it to another control and may have
+ * reverted it there, so this copy would undo a later change.
  */
-static int is_wanted(const pending_t *pending)
+static int is_caller_waiting(const domain_request_t *request)
 {
-	return !pending->order.is_caller_waiting ||
-	       pending->order.is_caller_waiting(pending->order.context);
+	return !request->change.is_caller_waiting ||
+	       request->change.is_caller_waiting(request->change.context);
 }
 
 static void on_confirmed(void *context, dy_raft_result_t result, uint64_t index)
 {
-	pending_t *pending = context;
-	dy_control_t *control = pending->control;
+	domain_request_t *request = context;
+	dy_control_t *control = request->control;
 
 	(void)index;
 	if (result != DY_RAFT_DONE)
-		end_order(pending, control_status_of(control, result), "");
-	else if (!control_knows_domain(control, pending->domain))
-		end_order(pending, DY_STATUS_NOT_FOUND,
-			  "there is no such failure domain");
-	else if (!is_wanted(pending))
-		end_order(pending, DY_STATUS_UNAVAILABLE,
-			  "its caller has gone");
-	else if (dy_registry_is_evacuated(control->registry, pending->domain) ==
-		 pending->order.evacuated)
-		end_order(pending, DY_STATUS_OK, "");
+		finish_request(request,
+			       control_status_from_result(control, result), "");
+	else if (!control_has_domain(control, request->domain))
+		finish_request(request, DY_STATUS_NOT_FOUND,
+			       "unknown failure domain");
+	else if (!is_caller_waiting(request))
+		finish_request(request, DY_STATUS_UNAVAILABLE,
+			       "the caller no longer waits for the result");
+	else if (dy_registry_is_evacuated(control->registry, request->domain) ==
+		 request->change.evacuated)
+		finish_request(request, DY_STATUS_OK, "");
 	else
-		propose(pending);
+		propose(request);
 }
 
 void dy_control_change_domain(dy_control_t *control,
-			      const dy_domain_change_t *order)
+			      const dy_domain_change_t *change)
 {
 	dy_raft_result_t result = control_admit(control);
-	pending_t *pending;
+	domain_request_t *request;
 
-	if (!*order->domain || strlen(order->domain) > DY_NAME_BYTES) {
-		order->done(order->context, DY_STATUS_NOT_FOUND,
-			    "there is no such failure domain");
+	if (!*change->domain || strlen(change->domain) > DY_NAME_BYTES) {
+		change->done(change->context, DY_STATUS_NOT_FOUND,
+			     "unknown failure domain");
 		return;
 	}
 	if (result != DY_RAFT_DONE) {
-		order->done(order->context, control_status_of(control, result),
-			    "");
+		change->done(change->context,
+			     control_status_from_result(control, result), "");
 		return;
 	}
-	pending = g_new0(pending_t, 1);
-	pending->control = control;
-	pending->order = *order;
-	g_strlcpy(pending->domain, order->domain, sizeof(pending->domain));
-	result = dy_raft_read(control->raft, on_confirmed, pending);
+	request = g_new0(domain_request_t, 1);
+	request->control = control;
+	request->change = *change;
+	g_strlcpy(request->domain, change->domain, sizeof(request->domain));
+	result = dy_raft_read(control->raft, on_confirmed, request);
 	if (result != DY_RAFT_DONE)
-		end_order(pending, control_status_of(control, result), "");
+		finish_request(request,
+			       control_status_from_result(control, result), "");
 }
--- a/src/process/control/control_group.c
+++ b/src/process/control/control_group.c
@@ -1,6 +1,4 @@
-/*
- * The group itself: messages of the log, founding, and taking controls in.
- */
+/* The control group: log messages, bootstrap, and joining controls. */
 
 #include <string.h>
 
@@ -66,8 +64,8 @@
 	if (hello.group != control->options.group)
 		return;
 	dy_address_load(&address, from);
-	control_note_newcomer(control, &hello, &address);
-	bootstrap_receive_hello(&control->founding, &hello, &address,
+	control_record_joiner(control, &hello, &address);
+	bootstrap_receive_hello(&control->bootstrap, &hello, &address,
 				hello.echo == dy_seal_sender(control->seal),
 				control_now_ms(control));
 	if (!hello.answer)
@@ -115,7 +113,7 @@
 	return voters;
 }
 
-static void found_group(dy_control_t *control)
+static void bootstrap_group(dy_control_t *control)
 {
 	const dy_address_t *own =
 		&control->options.peers.slots[control->options.slot];
@@ -124,12 +122,12 @@
 	if (dy_raft_bootstrap(control->raft, dy_address_format(own, text)) !=
 	    DY_RAFT_DONE)
 		return;
-	++*control->counters.founded;
+	++*control->counters.groups_bootstrapped;
 	dy_log_event(DY_LOG_INFO, "group_founded", "slot=%u peers=%u",
 		     control->options.slot, control->options.peers.count);
 }
 
-static void ask_peers(dy_control_t *control)
+static void send_hello_to_peers(dy_control_t *control)
 {
 	uint32_t slot;
 
@@ -140,8 +138,8 @@
 				   1, 0);
 }
 
-static void find_members(const dy_control_t *control, uint32_t slot,
-			 join_member_t *voter, join_member_t *learner)
+static void find_slot_members(const dy_control_t *control, uint32_t slot,
+			      join_member_t *voter, join_member_t *learner)
 {
 	const dy_raft_config_t *config = dy_raft_config(control->raft);
 	const dy_raft_member_t *member;
@@ -161,7 +159,8 @@
 	}
 }
 
-static void on_joined(void *context, dy_raft_result_t result, uint64_t index)
+static void on_config_committed(void *context, dy_raft_result_t result,
+				uint64_t index)
 {
 	dy_control_t *control = context;
 
@@ -171,8 +170,8 @@
 			control_count_voters(control), (unsigned long)index);
 }
 
-static void log_step(dy_control_t *control, const char *event,
-		     uint64_t *counter, dy_voter_id_t id)
+static void count_and_log_step(dy_control_t *control, const char *event,
+			       uint64_t *counter, dy_voter_id_t id)
 {
 	++*counter;
 	dy_log_event(DY_LOG_INFO, event, "slot=%u identity=%lx", id.slot,
@@ -189,7 +188,8 @@
 			     id.slot, (unsigned long)id.identity);
 }
 
-static void take_step(dy_control_t *control, join_step_t step, dy_voter_id_t id)
+static void run_join_step(dy_control_t *control, join_step_t step,
+			  dy_voter_id_t id)
 {
 	const dy_address_t *address = &control->options.peers.slots[id.slot];
 	char text[DY_ADDRESS_TEXT_BYTES];
@@ -201,23 +201,26 @@
 		refuse_join(control, id);
 		return;
 	case JOIN_ADD:
-		if (dy_raft_add_learner(control->raft, id,
-					dy_address_format(address, text),
-					on_joined, control) == DY_RAFT_DONE)
-			log_step(control, "learner_added",
-				 control->counters.learners_added, id);
+		if (dy_raft_add_learner(
+			    control->raft, id, dy_address_format(address, text),
+			    on_config_committed, control) == DY_RAFT_DONE)
+			count_and_log_step(control, "learner_added",
+					   control->counters.learners_added,
+					   id);
 		return;
 	case JOIN_PROMOTE:
-		if (dy_raft_promote(control->raft, id, on_joined, control) ==
-		    DY_RAFT_DONE)
-			log_step(control, "control_promoted",
-				 control->counters.members_promoted, id);
+		if (dy_raft_promote(control->raft, id, on_config_committed,
+				    control) == DY_RAFT_DONE)
+			count_and_log_step(control, "control_promoted",
+					   control->counters.members_promoted,
+					   id);
 		return;
 	case JOIN_REMOVE:
-		if (dy_raft_remove(control->raft, id, on_joined, control) ==
-		    DY_RAFT_DONE)
-			log_step(control, "control_removed",
-				 control->counters.members_removed, id);
+		if (dy_raft_remove(control->raft, id, on_config_committed,
+				   control) == DY_RAFT_DONE)
+			count_and_log_step(control, "control_removed",
+					   control->counters.members_removed,
+					   id);
 		return;
 	}
 }
@@ -234,31 +237,32 @@
 		if (!control->options.peers.slots[slot].port ||
 		    slot == control->options.slot)
 			continue;
-		find_members(control, slot, &voter, &learner);
+		find_slot_members(control, slot, &voter, &learner);
 		id.slot = slot;
-		step = bootstrap_next_join(&control->founding, slot, &voter,
+		step = bootstrap_next_join(&control->bootstrap, slot, &voter,
 					   &learner, control_now_ms(control),
 					   &id.identity);
-		if (step == JOIN_PROMOTE && !control_wants_voter(control))
+		if (step == JOIN_PROMOTE && !control_needs_voter(control))
 			continue;
-		take_step(control, step, id);
+		run_join_step(control, step, id);
 	}
-	if (control_find_surplus(control, &id))
-		take_step(control, JOIN_REMOVE, id);
+	if (control_find_surplus_voter(control, &id))
+		run_join_step(control, JOIN_REMOVE, id);
 }
 
-/* An operator must see why a control that is up serves nobody. */
-static void log_waiting(dy_control_t *control)
+/* Tells the operator why a running control does not serve. */
+static void log_join_wait(dy_control_t *control)
 {
 	unsigned answered = 0;
 	unsigned empty = 0;
 	uint32_t slot;
 
 	for (slot = 1; slot <= DY_RAFT_MEMBERS_MAX; slot++) {
-		answered += !!control->founding.peer_states[slot].answered;
-		empty += !!control->founding.peer_states[slot].empty;
+		answered += !!control->bootstrap.peer_states[slot].answered;
+		empty += !!control->bootstrap.peer_states[slot].empty;
 	}
-	if (control_now_ms(control) - control->started_ms >= WAITING_MS &&
+	if (control_now_ms(control) - control->started_ms >=
+		    JOIN_WAIT_LOG_INTERVAL_MS &&
 	    dy_log_allow(&control->waiting_limit, "group_awaited",
 			 control_now_ms(control)))
 		dy_log_event(DY_LOG_WARN, "group_awaited",
@@ -269,21 +273,21 @@
 void control_review_group(dy_control_t *control)
 {
 	if (dy_raft_role(control->raft) == DY_RAFT_LEADER) {
-		control->led_ms = control_now_ms(control);
+		control->leader_seen_ms = control_now_ms(control);
 		if (dy_raft_has_quorum(control->raft) &&
-		    control_intake_allows_joins(control->intake))
+		    control_poll_queue_allows_joins(control->poll_queue))
 			review_joins(control);
 		return;
 	}
 	if (!store_is_empty(control)) {
 		if (control->options.dynamic_membership)
-			control_ask_membership(control);
+			control_query_membership(control);
 		return;
 	}
-	if (bootstrap_is_due(&control->founding))
-		found_group(control);
+	if (bootstrap_is_due(&control->bootstrap))
+		bootstrap_group(control);
 	else
-		ask_peers(control);
-	control_check_waiting(control);
-	log_waiting(control);
+		send_hello_to_peers(control);
+	control_check_join_timeout(control);
+	log_join_wait(control);
 }
--- a/src/process/control/control_images.c
+++ b/src/process/control/control_images.c
@@ -1,11 +1,12 @@
 /*
- * Images of the state, for members that know nothing yet.
+ * Images of the state, from which new members start.
  *
  * Load pattern: all balancers start at once, and each needs every agent's
- * record. Without this the leader encodes and seals all of them for each, page
- * by page, and the time to the first service grows with balancers times agents.
- * An image is encoded and packed once for all who ask, and any control gives
- * it, so the leader is asked for no more than a confirmation.
+ * record. Without images the leader encodes and seals all records for each
+ * balancer, page by page, and the time to the first service grows with the
+ * number of balancers times the number of agents. An image is encoded and
+ * compressed once for all members, and any control can send it, so the leader
+ * is asked only for a confirmation.
  */
 
 #include <string.h>
@@ -14,25 +15,25 @@
 #include "damaskyard/document_pack.h"
 
 /*
- * An image is given for so long, in ms, though the state goes on: the leader's
- * answers go on from its version, and making one costs as much as some tens of
- * these.
+ * Time to live of an image while the state changes: the leader's poll answers
+ * continue from the image's version, and creating an image costs as much as
+ * some tens of these answers.
  */
-#define IMAGE_FRESH_MS 100
+#define IMAGE_TTL_MS 100
 
-/* The newest and the one before, whose pages are still asked for. */
-#define IMAGES_KEPT 2
+/* The newest image and the one before, whose pages members still request. */
+#define CACHED_IMAGES 2
 
 typedef struct image {
 	uint64_t version; /* 0: none */
-	uint64_t made_ms;
+	uint64_t created_ms;
 	uint8_t digest[DY_DIGEST_BYTES];
 	GByteArray *bytes;
 } image_t;
 
 struct control_images {
 	dy_control_t *control;
-	image_t kept[DY_ENVIRONMENTS][IMAGES_KEPT]; /* newest first */
+	image_t cache[DY_ENVIRONMENTS][CACHED_IMAGES]; /* newest first */
 };
 
 control_images_t *control_images_create(dy_control_t *control)
@@ -58,12 +59,12 @@
 	if (!images)
 		return;
 	for (i = 0; i < DY_ENVIRONMENTS; i++)
-		for (k = 0; k < IMAGES_KEPT; k++)
-			clear_image(&images->kept[i][k]);
+		for (k = 0; k < CACHED_IMAGES; k++)
+			clear_image(&images->cache[i][k]);
 	g_free(images);
 }
 
-/* Returns NULL if the state is larger than a content may be. */
+/* Returns NULL if the state is larger than DY_DOCUMENT_BYTES. */
 static GByteArray *pack_state(dy_control_t *control,
 			      dy_environment_t environment, uint64_t version)
 {
@@ -89,54 +90,54 @@
 	return packed;
 }
 
-static void make_image(control_images_t *images, dy_environment_t environment)
+static void create_image(control_images_t *images, dy_environment_t environment)
 {
 	dy_control_t *control = images->control;
 	uint64_t version = dy_registry_index(control->registry);
 	GByteArray *bytes = pack_state(control, environment, version);
-	image_t *kept = images->kept[environment];
+	image_t *cache = images->cache[environment];
 
 	if (!bytes)
 		return;
-	clear_image(&kept[IMAGES_KEPT - 1]);
-	memmove(&kept[1], &kept[0], (IMAGES_KEPT - 1) * sizeof(*kept));
-	kept[0].version = version;
-	kept[0].made_ms = control_now_ms(control);
-	kept[0].bytes = bytes;
-	dy_document_digest(bytes->data, bytes->len, kept[0].digest);
+	clear_image(&cache[CACHED_IMAGES - 1]);
+	memmove(&cache[1], &cache[0], (CACHED_IMAGES - 1) * sizeof(*cache));
+	cache[0].version = version;
+	cache[0].created_ms = control_now_ms(control);
+	cache[0].bytes = bytes;
+	dy_document_digest(bytes->data, bytes->len, cache[0].digest);
 	++*control->counters.images;
 }
 
 /*
- * A control that has just started does not know yet how much of its log was
- * acknowledged: an image of it would be old, and all that follows it long.
+ * A control that has just started cannot tell yet how much of its log is
+ * committed. An image of it would be old and followed by many deltas.
  */
-static const image_t *find_fresh(control_images_t *images,
-				 dy_environment_t environment)
+static const image_t *find_current(control_images_t *images,
+				   dy_environment_t environment)
 {
 	dy_control_t *control = images->control;
-	const image_t *newest = &images->kept[environment][0];
+	const image_t *newest = &images->cache[environment][0];
 
 	if (!dy_raft_is_current(control->raft))
 		return NULL;
 	if (!newest->version ||
 	    (newest->version != dy_registry_index(control->registry) &&
-	     control_now_ms(control) - newest->made_ms >= IMAGE_FRESH_MS))
-		make_image(images, environment);
+	     control_now_ms(control) - newest->created_ms >= IMAGE_TTL_MS))
+		create_image(images, environment);
 	return newest->version ? newest : NULL;
 }
 
-static void fill_result(control_images_t *images, const dy_image_ask_t *ask,
+static void fill_result(control_images_t *images, const dy_image_ask_t *request,
 			dy_image_result_t *result)
 {
-	int environment = dy_environment_find(ask->environment);
+	int environment = dy_environment_find(request->environment);
 	const image_t *image;
 
 	result->status = DY_STATUS_UNAVAILABLE;
-	result->info.environment = ask->environment;
+	result->info.environment = request->environment;
 	if (environment < 0)
 		return;
-	image = find_fresh(images, (dy_environment_t)environment);
+	image = find_current(images, (dy_environment_t)environment);
 	if (!image)
 		return;
 	result->status = DY_STATUS_OK;
@@ -145,23 +146,23 @@
 	memcpy(result->info.digest, image->digest, DY_DIGEST_BYTES);
 }
 
-void control_images_ask(control_images_t *images, const dy_sealed_t *message,
-			const struct sockaddr *from)
+void control_images_answer(control_images_t *images, const dy_sealed_t *message,
+			   const struct sockaddr *from)
 {
 	dy_control_t *control = images->control;
 	dy_image_result_t result = { 0 };
-	dy_image_ask_t ask;
+	dy_image_ask_t request;
 
-	++*control->counters.image_asks;
-	if (!dy_sealed_load(message, (xdrproc_t)xdr_dy_image_ask_t, &ask,
-			    sizeof(ask))) {
+	++*control->counters.image_requests;
+	if (!dy_sealed_load(message, (xdrproc_t)xdr_dy_image_ask_t, &request,
+			    sizeof(request))) {
 		control_count_malformed(control, message->procedure);
 		return;
 	}
-	fill_result(images, &ask, &result);
+	fill_result(images, &request, &result);
 	control_answer(control, from, message->xid,
 		       (xdrproc_t)xdr_dy_image_result_t, &result);
-	xdr_free((xdrproc_t)xdr_dy_image_ask_t, (char *)&ask);
+	xdr_free((xdrproc_t)xdr_dy_image_ask_t, (char *)&request);
 }
 
 const uint8_t *control_images_find(const control_images_t *images,
@@ -172,8 +173,8 @@
 	int k;
 
 	for (i = 0; i < DY_ENVIRONMENTS; i++)
-		for (k = 0; k < IMAGES_KEPT; k++) {
-			image = &images->kept[i][k];
+		for (k = 0; k < CACHED_IMAGES; k++) {
+			image = &images->cache[i][k];
 			if (!image->version ||
 			    memcmp(image->digest, digest, DY_DIGEST_BYTES) != 0)
 				continue;
--- a/src/process/control/control_inspect.c
+++ b/src/process/control/control_inspect.c
@@ -1,7 +1,7 @@
 /*
- * What `damaskyard status` prints. One line an item:
+ * The status lines that `damaskyard status` prints, one line per item:
  *
- *	group leader=1 term=4 commit=812 version=810 members=24
+ *	group leader=1 term=4 commit=812 version=810
  *	control id=1 address=IP:PORT role=voter lag=0 heard_ms=12
  *	document environment=trial number=3 digest=HEX in_force=8/8 tried=1
  *		operator=NAME
@@ -12,8 +12,9 @@
  *		state=serving incarnation=70 address=IP:PORT domain=d1
  *		document=3 drain=0 heard_ms=140
  *
- * Each stands on one line. lag counts entries that a control lacks; document
- * and heard_ms of a member are as it told this leader.
+ * Each item is printed on one line. lag is the number of log entries that a
+ * control lacks. document and heard_ms of a member are as reported to this
+ * leader.
  */
 
 #include <string.h>
@@ -169,7 +170,7 @@
 	result.status = status;
 	result.more = page.more;
 	result.lines = page.lines;
-	control_show_leader(control, &result.leader);
+	control_leader_address(control, &result.leader);
 	control_answer_request(request, (xdrproc_t)xdr_dy_inspect_result_t,
 			       &result);
 }
@@ -179,7 +180,8 @@
 	request_t *request = context;
 
 	(void)index;
-	answer_inspect(request, control_status_of(request->control, result));
+	answer_inspect(request,
+		       control_status_from_result(request->control, result));
 }
 
 void control_inspect(dy_control_t *control, const dy_sealed_t *message,
@@ -194,8 +196,12 @@
 				       sizeof(dy_inspect_t));
 	if (!request)
 		return;
-	/* Also of a group that does not serve yet: operators ask why. */
+	/*
+	 * Answered also while the group does not serve yet, so that operators
+	 * can see why.
+	 */
 	result = dy_raft_read(control->raft, on_confirmed, request);
 	if (result != DY_RAFT_DONE)
-		answer_inspect(request, control_status_of(control, result));
+		answer_inspect(request,
+			       control_status_from_result(control, result));
 }
--- a/src/process/control/control_ledger.c
+++ b/src/process/control/control_ledger.c
@@ -1,5 +1,6 @@
 /*
- * The ledger of open flows: taken from agents, written to disk, given back.
+ * The ledger of open flows: lists received from agents, written to disk, and
+ * sent back on request.
  */
 
 #include <errno.h>
@@ -13,22 +14,22 @@
 #include "dy_ledger.h"
 
 /*
- * The ledger is written so often at most, in ms, if it has changed: a flow is
- * missing after a loss of power that was opened in the last two lists.
+ * Minimum interval between two writes of a changed ledger. A power loss can
+ * lose flows that were opened in the last two lists.
  */
-#define WRITE_MS 2000
+#define WRITE_INTERVAL_MS 2000
 
 /*
- * Two files take turns, so that one is whole if power is lost while the other
- * is written. Each is a head and the lists.
+ * Two files are written alternately, so that one stays intact if power is lost
+ * while the other is written. Each holds a header and the lists.
  */
-#define FILES 2
+#define FILE_COUNT 2
 
-typedef struct head {
-	uint64_t sequence; /* the greater is the newer */
+typedef struct file_header {
+	uint64_t sequence; /* the newer file has the greater one */
 	uint64_t len;
 	uint64_t hash; /* of sequence, len and the lists */
-} head_t;
+} file_header_t;
 
 struct control_ledger {
 	dy_control_t *control;
@@ -37,32 +38,33 @@
 	uint64_t written_ms;
 	int dirty;
 	dy_log_limit_t failure_limit;
-	struct sockaddr_storage asker; /* of the list that is given */
+	struct sockaddr_storage query_from; /* of the current query */
 };
 
-static const char *const names[FILES] = { "flows-0", "flows-1" };
+static const char *const names[FILE_COUNT] = { "flows-0", "flows-1" };
 
-static uint64_t hash_of(const head_t *head, const uint8_t *bytes)
+static uint64_t hash_of(const file_header_t *header, const uint8_t *bytes)
 {
-	return XXH3_64bits_withSeed(bytes, head->len,
-				    head->sequence ^ head->len);
+	return XXH3_64bits_withSeed(bytes, header->len,
+				    header->sequence ^ header->len);
 }
 
-/* The lists of a file, or NULL if it is not whole. */
-static uint8_t *read_file(const dy_disk_t *disk, const char *name, head_t *head)
+/* Returns the lists of a file, or NULL if the file is incomplete or damaged. */
+static uint8_t *read_file(const dy_disk_t *disk, const char *name,
+			  file_header_t *header)
 {
 	int handle = disk->open(disk->context, name, 0);
 	uint8_t *bytes = NULL;
 
 	if (handle < 0)
 		return NULL;
-	if (disk->read(disk->context, handle, 0, head, sizeof(*head)) ==
-		    sizeof(*head) &&
-	    head->len <= UINT32_MAX) {
-		bytes = g_malloc(head->len + 1);
-		if (disk->read(disk->context, handle, sizeof(*head), bytes,
-			       head->len) != (int64_t)head->len ||
-		    hash_of(head, bytes) != head->hash)
+	if (disk->read(disk->context, handle, 0, header, sizeof(*header)) ==
+		    sizeof(*header) &&
+	    header->len <= UINT32_MAX) {
+		bytes = g_malloc(header->len + 1);
+		if (disk->read(disk->context, handle, sizeof(*header), bytes,
+			       header->len) != (int64_t)header->len ||
+		    hash_of(header, bytes) != header->hash)
 			g_clear_pointer(&bytes, g_free);
 	}
 	disk->close(disk->context, handle);
@@ -71,23 +73,23 @@
 
 static void load(control_ledger_t *ledger)
 {
-	uint8_t *bytes[FILES];
-	head_t heads[FILES];
+	uint8_t *bytes[FILE_COUNT];
+	file_header_t headers[FILE_COUNT];
 	int newest = -1;
 	int i;
 
-	for (i = 0; i < FILES; i++) {
+	for (i = 0; i < FILE_COUNT; i++) {
 		bytes[i] =
-			read_file(ledger->control->disk, names[i], &heads[i]);
-		if (bytes[i] && heads[i].sequence > ledger->sequence) {
-			ledger->sequence = heads[i].sequence;
+			read_file(ledger->control->disk, names[i], &headers[i]);
+		if (bytes[i] && headers[i].sequence > ledger->sequence) {
+			ledger->sequence = headers[i].sequence;
 			newest = i;
 		}
 	}
 	if (newest >= 0)
 		dy_flow_ledger_load(ledger->lists, bytes[newest],
-				    heads[newest].len);
-	for (i = 0; i < FILES; i++)
+				    headers[newest].len);
+	for (i = 0; i < FILE_COUNT; i++)
 		g_free(bytes[i]);
 }
 
@@ -126,8 +128,11 @@
 	return ok;
 }
 
-/* The lists are a hint, so the control goes on; the log's failure ends it. */
-static void note_failure(control_ledger_t *ledger)
+/*
+ * The lists are only a hint, so a failed write does not stop the control; a
+ * failed write of the log does.
+ */
+static void report_write_failure(control_ledger_t *ledger)
 {
 	++*ledger->control->counters.ledger_failures;
 	if (dy_log_allow(&ledger->failure_limit, "ledger_not_written",
@@ -139,18 +144,18 @@
 static void write_lists(control_ledger_t *ledger)
 {
 	GByteArray *bytes = g_byte_array_new();
-	head_t head = { .sequence = ledger->sequence + 1 };
+	file_header_t header = { .sequence = ledger->sequence + 1 };
 
-	g_byte_array_append(bytes, (uint8_t *)&head, sizeof(head));
+	g_byte_array_append(bytes, (uint8_t *)&header, sizeof(header));
 	dy_flow_ledger_write(ledger->lists, bytes);
-	head.len = bytes->len - sizeof(head);
-	head.hash = hash_of(&head, bytes->data + sizeof(head));
-	memcpy(bytes->data, &head, sizeof(head));
-	if (write_file(ledger->control->disk, names[head.sequence % FILES],
-		       bytes))
-		ledger->sequence = head.sequence;
+	header.len = bytes->len - sizeof(header);
+	header.hash = hash_of(&header, bytes->data + sizeof(header));
+	memcpy(bytes->data, &header, sizeof(header));
+	if (write_file(ledger->control->disk,
+		       names[header.sequence % FILE_COUNT], bytes))
+		ledger->sequence = header.sequence;
 	else
-		note_failure(ledger);
+		report_write_failure(ledger);
 	g_byte_array_unref(bytes);
 }
 
@@ -158,14 +163,14 @@
 {
 	uint64_t now = control_now_ms(ledger->control);
 
-	if (!ledger->dirty || now - ledger->written_ms < WRITE_MS)
+	if (!ledger->dirty || now - ledger->written_ms < WRITE_INTERVAL_MS)
 		return;
 	ledger->dirty = 0;
 	ledger->written_ms = now;
 	write_lists(ledger);
 }
 
-static void keep_part(control_ledger_t *ledger, const dy_sealed_t *message)
+static void receive_part(control_ledger_t *ledger, const dy_sealed_t *message)
 {
 	dy_ledger_part_t part;
 
@@ -179,7 +184,7 @@
 	xdr_free((xdrproc_t)xdr_dy_ledger_part_t, (char *)&part);
 }
 
-static void give_part(void *context, dy_ledger_part_t *part)
+static void send_part(void *context, dy_ledger_part_t *part)
 {
 	control_ledger_t *ledger = context;
 	dy_control_t *control = ledger->control;
@@ -189,35 +194,35 @@
 					control->out, sizeof(control->out));
 
 	if (!len || dy_endpoint_send(control->endpoint, control->out, len,
-				     (struct sockaddr *)&ledger->asker))
+				     (struct sockaddr *)&ledger->query_from))
 		++*control->counters.unsent;
 }
 
-/* So that it asks no more. */
-static void give_nothing(control_ledger_t *ledger, char *agent)
+/* Sends an empty list, so that the agent stops asking. */
+static void send_empty_list(control_ledger_t *ledger, char *agent)
 {
 	dy_ledger_part_t part = { .agent = agent, .target = "", .parts = 1 };
 
-	give_part(ledger, &part);
+	send_part(ledger, &part);
 }
 
-static void give_list(control_ledger_t *ledger, const dy_sealed_t *message,
-		      const struct sockaddr *from)
+static void answer_query(control_ledger_t *ledger, const dy_sealed_t *message,
+			 const struct sockaddr *from)
 {
-	dy_ledger_ask_t ask;
+	dy_ledger_ask_t query;
 	dy_address_t address;
 
-	if (!dy_sealed_load(message, (xdrproc_t)xdr_dy_ledger_ask_t, &ask,
-			    sizeof(ask))) {
+	if (!dy_sealed_load(message, (xdrproc_t)xdr_dy_ledger_ask_t, &query,
+			    sizeof(query))) {
 		control_count_malformed(ledger->control, message->procedure);
 		return;
 	}
 	dy_address_load(&address, from);
-	dy_address_write(&address, &ledger->asker);
-	if (!dy_flow_ledger_each_part(ledger->lists, ask.agent, give_part,
+	dy_address_write(&address, &ledger->query_from);
+	if (!dy_flow_ledger_each_part(ledger->lists, query.agent, send_part,
 				      ledger))
-		give_nothing(ledger, ask.agent);
-	xdr_free((xdrproc_t)xdr_dy_ledger_ask_t, (char *)&ask);
+		send_empty_list(ledger, query.agent);
+	xdr_free((xdrproc_t)xdr_dy_ledger_ask_t, (char *)&query);
 }
 
 void control_ledger_receive(control_ledger_t *ledger,
@@ -226,10 +231,10 @@
 {
 	switch (message->procedure) {
 	case DY_LEDGER_KEEP:
-		keep_part(ledger, message);
+		receive_part(ledger, message);
 		return;
 	case DY_LEDGER_ASK:
-		give_list(ledger, message, from);
+		answer_query(ledger, message, from);
 		return;
 	default:
 		control_count_malformed(ledger->control, message->procedure);
--- a/src/process/control/control_membership.c
+++ b/src/process/control/control_membership.c
@@ -1,6 +1,6 @@
 /*
- * An open group: its members are those of the log, and a control that knows
- * no more than some addresses of the group finds its place in it.
+ * Dynamic membership: the group's members are those of the log, and a control
+ * that has only some addresses of the group gets its slot from the leader.
  */
 
 #include <string.h>
@@ -8,25 +8,25 @@
 #include "control_private.h"
 
 /*
- * A slot is kept for the address that it was given to for so long, in ms: it
- * is asked for again some times in that time by whoever still wants it.
+ * Time to live of a slot claim. A control that still needs the slot requests it
+ * again several times within this time.
  */
-#define SEAT_KEPT_MS 3000
+#define SLOT_CLAIM_TTL_MS 3000
 
 /*
- * An empty control that was not taken in for so long, in ms, asks for another
- * place. Founding and joining take about one second.
+ * A control with an empty store that has not joined after this time gives up
+ * its slot and requests another. Bootstrap and joining take about one second.
  */
-#define WAIT_IN_VAIN_MS 8000
+#define JOIN_TIMEOUT_MS 8000
 
 /*
- * A member without a leader for so long, in ms, asks whether it still is one:
- * ten elections, so that a change of leader raises no questions.
+ * A member without a leader for this time asks its peers whether it is still a
+ * member: ten election timeouts, so that a change of leader causes no queries.
  */
-#define LEADERLESS_MS 3000
+#define LEADERLESS_TIMEOUT_MS 3000
 
-/* Between two such questions, in ms. */
-#define ASK_AGAIN_MS 500
+/* Interval of these queries. */
+#define MEMBERSHIP_QUERY_INTERVAL_MS 500
 
 void control_refresh_peers(dy_control_t *control)
 {
@@ -56,7 +56,7 @@
 	return 0;
 }
 
-void control_note_newcomer(dy_control_t *control, const dy_hello_t *hello,
+void control_record_joiner(dy_control_t *control, const dy_hello_t *hello,
 			   const dy_address_t *from)
 {
 	uint32_t slot = hello->id.slot;
@@ -68,23 +68,25 @@
 }
 
 /*
- * Guards against several controls that ask at the same moment, as when all
- * start: given the same slot, all but one would wait in it for ever.
+ * Guards against several controls that request a slot at the same time, as when
+ * all start: given the same slot, all but one would wait in it indefinitely.
  */
-static int is_promised(const dy_control_t *control, uint32_t slot,
-		       const dy_address_t *address, uint64_t now_ms)
+static int is_claimed(const dy_control_t *control, uint32_t slot,
+		      const dy_address_t *address, uint64_t now_ms)
 {
-	const seat_t *seat = &control->seats[slot];
+	const slot_claim_t *claim = &control->slot_claims[slot];
 
-	if (seat->given_ms && now_ms - seat->given_ms <= SEAT_KEPT_MS)
-		return !dy_address_equal(&seat->address, address);
-	return bootstrap_is_slot_requested(&control->founding, slot, now_ms) &&
+	if (claim->claimed_ms &&
+	    now_ms - claim->claimed_ms <= SLOT_CLAIM_TTL_MS)
+		return !dy_address_equal(&claim->address, address);
+	return bootstrap_is_slot_requested(&control->bootstrap, slot, now_ms) &&
 	       !dy_address_equal(&control->options.peers.slots[slot], address);
 }
 
 /*
- * The slot for a control at that address: the one it held before its disk was
- * lost, or the lowest that is no member's and that nobody asks for.
+ * Returns the slot for a control at that address: the one it held before its
+ * disk was lost, or the lowest one that no member holds and no other control
+ * claims. Returns 0 if there is none.
  */
 static uint32_t choose_slot(const dy_control_t *control,
 			    const dy_address_t *address)
@@ -99,13 +101,13 @@
 			return slot;
 	for (slot = 1; slot <= DY_RAFT_MEMBERS_MAX; slot++)
 		if (!slot_is_member(control, slot) &&
-		    !is_promised(control, slot, address, now))
+		    !is_claimed(control, slot, address, now))
 			return slot;
 	return 0;
 }
 
-static void list_seats(const dy_control_t *control, dy_place_t *place,
-		       dy_seat_t seats[DY_SEATS_MAX])
+static void list_members(const dy_control_t *control, dy_place_t *place,
+			 dy_seat_t seats[DY_SEATS_MAX])
 {
 	const dy_peers_t *peers = &control->options.peers;
 	uint32_t slot;
@@ -121,10 +123,11 @@
 }
 
 /*
- * Guards against a member that is told it is none by a configuration that is
- * then undone, and gives up its disk: only what is committed counts.
+ * Guards against a member that is told it was removed by a configuration that
+ * is later rolled back, and then gives up its disk: only a committed
+ * configuration counts.
  */
-static void judge_identity(const dy_control_t *control, const dy_find_t *find,
+static void check_identity(const dy_control_t *control, const dy_find_t *find,
 			   dy_place_t *place)
 {
 	if (dy_raft_config_has(dy_raft_config(control->raft), find->id))
@@ -136,7 +139,7 @@
 static void fill_place(dy_control_t *control, const dy_find_t *find,
 		       const dy_address_t *from, dy_place_t *place)
 {
-	control_show_leader(control, &place->leader);
+	control_leader_address(control, &place->leader);
 	if (dy_raft_role(control->raft) != DY_RAFT_LEADER) {
 		if (place->leader.port)
 			place->status = DY_PLACE_ASK;
@@ -145,15 +148,15 @@
 	if (!control_serves(control) || !dy_raft_has_quorum(control->raft))
 		return;
 	if (find->id.identity) {
-		judge_identity(control, find, place);
+		check_identity(control, find, place);
 		return;
 	}
 	place->slot = choose_slot(control, from);
 	if (!place->slot)
 		return;
 	place->status = DY_PLACE_GIVEN;
-	control->seats[place->slot].address = *from;
-	control->seats[place->slot].given_ms = control_now_ms(control);
+	control->slot_claims[place->slot].address = *from;
+	control->slot_claims[place->slot].claimed_ms = control_now_ms(control);
 }
 
 void control_receive_find(dy_control_t *control, const dy_sealed_t *message,
@@ -176,7 +179,7 @@
 	dy_address_load(&address, from);
 	place.group = find.group;
 	place.echo = find.echo;
-	list_seats(control, &place, seats);
+	list_members(control, &place, seats);
 	fill_place(control, &find, &address, &place);
 	len = dy_seal_write_call(control->seal, &head,
 				 (xdrproc_t)xdr_dy_place_t, &place,
@@ -199,16 +202,16 @@
 	    place.status == DY_PLACE_LOST) {
 		dy_log_event(DY_LOG_WARN, "control_evicted", "slot=%u",
 			     dy_store_id(control->store).slot);
-		control_end(control, DY_CONTROL_EVICTED);
+		control_terminate(control, DY_CONTROL_EVICTED);
 	}
 	xdr_free((xdrproc_t)xdr_dy_place_t, (char *)&place);
 }
 
 /*
- * Guards against a member that was let go while it was cut off: nobody sends
- * to it any more, so it would wait for a leader for ever.
+ * Guards against a member that was removed while it was partitioned: no control
+ * sends to it any more, so it would wait for a leader indefinitely.
  */
-void control_ask_membership(dy_control_t *control)
+void control_query_membership(dy_control_t *control)
 {
 	dy_seal_head_t head = { 0, DY_GROUP_PROGRAM, DY_GROUP_FIND };
 	uint64_t now = control_now_ms(control);
@@ -217,13 +220,13 @@
 	size_t len;
 
 	if (dy_raft_leader(control->raft).identity) {
-		control->led_ms = now;
+		control->leader_seen_ms = now;
 		return;
 	}
-	if (now - control->led_ms < LEADERLESS_MS ||
-	    now - control->asked_ms < ASK_AGAIN_MS)
+	if (now - control->leader_seen_ms < LEADERLESS_TIMEOUT_MS ||
+	    now - control->membership_query_ms < MEMBERSHIP_QUERY_INTERVAL_MS)
 		return;
-	control->asked_ms = now;
+	control->membership_query_ms = now;
 	find.group = control->options.group;
 	find.id = dy_store_id(control->store);
 	find.echo = find.id.identity;
@@ -241,17 +244,17 @@
 	}
 }
 
-void control_check_waiting(dy_control_t *control)
+void control_check_join_timeout(dy_control_t *control)
 {
 	if (!control->options.dynamic_membership ||
-	    control_now_ms(control) - control->started_ms < WAIT_IN_VAIN_MS)
+	    control_now_ms(control) - control->started_ms < JOIN_TIMEOUT_MS)
 		return;
 	dy_log_event(DY_LOG_WARN, "control_waited_in_vain", "slot=%u",
 		     control->options.slot);
-	control_end(control, DY_CONTROL_EVICTED);
+	control_terminate(control, DY_CONTROL_EVICTED);
 }
 
-/* What a review of the voters found. */
+/* Number of voters, and those of them that do not answer. */
 typedef struct voters {
 	unsigned count;
 	unsigned silent;
@@ -282,7 +285,7 @@
 	}
 }
 
-static unsigned wanted_voters(const dy_control_t *control)
+static unsigned required_voters(const dy_control_t *control)
 {
 	unsigned losses = control->options.losses ? control->options.losses
 						  : DY_LOSSES_DEFAULT;
@@ -290,22 +293,23 @@
 	return 2 * losses + 1;
 }
 
-int control_wants_voter(dy_control_t *control)
+int control_needs_voter(dy_control_t *control)
 {
 	voters_t voters;
 
 	if (!control->options.dynamic_membership)
 		return 1;
 	count_members(control, &voters);
-	return voters.count - voters.silent < wanted_voters(control);
+	return voters.count - voters.silent < required_voters(control);
 }
 
 /*
- * Guards against a voter that is gone for good and still counts: with four
- * voters, one of them gone, the next loss stops the group. It is let go once
- * another has its place; never so that fewer remain than bear the losses.
+ * Guards against a permanently lost voter that still counts towards the quorum:
+ * with four voters, one of them lost, the next loss stops the group. The voter
+ * is removed once another has replaced it, and never if fewer voters would
+ * remain than options.losses requires.
  */
-int control_find_surplus(dy_control_t *control, dy_voter_id_t *id)
+int control_find_surplus_voter(dy_control_t *control, dy_voter_id_t *id)
 {
 	voters_t voters;
 
@@ -313,5 +317,5 @@
 		return 0;
 	count_members(control, &voters);
 	*id = voters.silent_id;
-	return voters.silent && voters.count > wanted_voters(control);
+	return voters.silent && voters.count > required_voters(control);
 }
--- a/src/process/control/control_poll.c
+++ b/src/process/control/control_poll.c
@@ -1,6 +1,7 @@
 /*
- * A member's poll: judged against the registry, committed if it changes
- * anything, else confirmed by a read of the log; answered after that.
+ * A member's poll is evaluated against the registry. If it changes the
+ * registry, the change is committed to the log; otherwise a read of the log
+ * confirms the leader. The poll is answered after that.
  */
 
 #include <string.h>
@@ -9,33 +10,38 @@
 #include "damaskyard/subscriber.h"
 
 /*
- * Polls that a leader answers in a second, at most: half of what one core can,
- * as it shares the core with the log. Members of a larger group poll less
- * often. On a part of a core it is fewer; then the pace comes from what polls
- * were seen to cost.
+ * Maximum rate of polls of a leader: half of what one core can answer, because
+ * the log shares the core. Members of a larger group poll less often. On a
+ * fraction of a core the rate is lower; the interval is then derived from the
+ * measured cost of polls.
  */
-#define CONTROL_POLLS_A_SECOND 15000
+#define POLLS_PER_SECOND_MAX 15000
 
-/* Polls lost in a row that a lease outlives, and one more. */
-#define POLLS_A_LEASE 4
+/* Poll intervals per lease: a lease survives three lost polls in a row. */
+#define POLLS_PER_LEASE 4
 
-uint32_t control_poll_ms(const dy_control_t *control)
+uint32_t control_poll_interval_ms(const dy_control_t *control)
 {
 	uint32_t members = dy_registry_member_count(control->registry);
-	uint64_t bound_ms = (uint64_t)members * 1000 / CONTROL_POLLS_A_SECOND;
-	uint64_t seen_ms = control_intake_pace_ms(control->intake, members);
+	uint64_t bound_ms = (uint64_t)members * 1000 / POLLS_PER_SECOND_MAX;
+	uint64_t measured_ms =
+		control_poll_queue_interval_ms(control->poll_queue, members);
 
-	return (uint32_t)CLAMP(MAX(bound_ms, seen_ms), DY_POLL_MS,
+	return (uint32_t)CLAMP(MAX(bound_ms, measured_ms), DY_POLL_MS,
 			       DY_POLL_MOST_MS);
 }
 
 uint64_t control_lease_ms(const dy_control_t *control)
 {
 	return MAX(control->options.leases.lease_ms,
-		   POLLS_A_LEASE * (uint64_t)control_poll_ms(control));
+		   POLLS_PER_LEASE *
+			   (uint64_t)control_poll_interval_ms(control));
 }
 
-/* The members of an open group, so that whoever polls outlives its settings. */
+/*
+ * Lists the members of a group with dynamic membership, so that a polling
+ * member finds the group also after the controls in its settings were replaced.
+ */
 static unsigned list_controls(const dy_control_t *control,
 			      dy_address_t controls[DY_CONTROLS_MAX])
 {
@@ -53,7 +59,7 @@
 	return count;
 }
 
-static uint64_t poller(const request_t *request)
+static uint64_t polling_member(const request_t *request)
 {
 	const dy_member_info_t *info = &request->args.poll.info;
 
@@ -68,10 +74,10 @@
 	dy_poll_result_t result = { 0 };
 
 	result.status = status;
-	result.poll_ms = control_poll_ms(control);
+	result.poll_ms = control_poll_interval_ms(control);
 	result.lease_ms = (uint32_t)control_lease_ms(control);
 	result.deltas.deltas_val = deltas;
-	control_show_leader(control, &result.leader);
+	control_leader_address(control, &result.leader);
 	result.controls.controls_val = controls;
 	result.controls.controls_len = list_controls(control, controls);
 	if (status == DY_STATUS_NAME_TAKEN)
@@ -81,22 +87,25 @@
 	if (status == DY_STATUS_OK) {
 		dy_registry_fill_poll_result(control->registry,
 					     &request->args.poll, &result);
-		control_intake_heard(control->intake, poller(request));
+		control_poll_queue_poll_answered(control->poll_queue,
+						 polling_member(request));
 	}
 	control_answer_request(request, (xdrproc_t)xdr_dy_poll_result_t,
 			       &result);
 }
 
-static void renew(request_t *request)
+static void renew_lease(request_t *request)
 {
-	dy_registry_renew_lease(request->control->registry, poller(request),
+	dy_registry_renew_lease(request->control->registry,
+				polling_member(request),
 				request->args.poll.document);
 }
 
 static void on_committed(void *context, dy_raft_result_t result, uint64_t index)
 {
 	request_t *request = context;
-	dy_status_t status = control_status_of(request->control, result);
+	dy_status_t status =
+		control_status_from_result(request->control, result);
 	dy_command_t command;
 
 	(void)index;
@@ -104,12 +113,12 @@
 		answer_poll(request, status);
 		return;
 	}
-	/* Another entry may have come before and changed what is right. */
+	/* An entry committed in between may have changed the outcome. */
 	switch (dy_registry_evaluate_poll(request->control->registry,
 					  &request->args.poll, &command,
 					  &status)) {
 	case DY_POLL_ANSWER:
-		renew(request);
+		renew_lease(request);
 		answer_poll(request, DY_STATUS_OK);
 		return;
 	case DY_POLL_REFUSE:
@@ -128,15 +137,15 @@
 	result = control_propose(request->control, command, on_committed,
 				 request);
 	if (result != DY_RAFT_DONE)
-		answer_poll(request,
-			    control_status_of(request->control, result));
+		answer_poll(request, control_status_from_result(
+					     request->control, result));
 }
 
 static void on_confirmed(void *context, dy_raft_result_t result, uint64_t index)
 {
 	request_t *request = context;
 	dy_control_t *control = request->control;
-	dy_status_t status = control_status_of(control, result);
+	dy_status_t status = control_status_from_result(control, result);
 	dy_command_t command;
 
 	(void)index;
@@ -147,7 +156,7 @@
 	switch (dy_registry_evaluate_poll(
 		control->registry, &request->args.poll, &command, &status)) {
 	case DY_POLL_ANSWER:
-		renew(request);
+		renew_lease(request);
 		answer_poll(request, DY_STATUS_OK);
 		return;
 	case DY_POLL_REFUSE:
@@ -159,8 +168,11 @@
 	}
 }
 
-/* What needs an entry is committed at once; that confirms the lead too. */
-static void begin(request_t *request)
+/*
+ * A poll that needs a log entry is proposed at once; the commit also confirms
+ * the leader.
+ */
+static void start_poll(request_t *request)
 {
 	dy_control_t *control = request->control;
 	dy_raft_result_t result;
@@ -174,7 +186,8 @@
 	}
 	result = dy_raft_read(control->raft, on_confirmed, request);
 	if (result != DY_RAFT_DONE)
-		answer_poll(request, control_status_of(control, result));
+		answer_poll(request,
+			    control_status_from_result(control, result));
 }
 
 int control_poll(dy_control_t *control, const dy_sealed_t *message,
@@ -191,8 +204,9 @@
 		return 0;
 	result = control_admit(control);
 	if (result == DY_RAFT_DONE)
-		begin(request);
+		start_poll(request);
 	else
-		answer_poll(request, control_status_of(control, result));
+		answer_poll(request,
+			    control_status_from_result(control, result));
 	return 1;
 }
--- a/src/process/control/control_poll_queue.c
+++ b/src/process/control/control_poll_queue.c
@@ -1,12 +1,14 @@
 /*
- * What members want of a control: their polls and the ledger's lists, which
- * wait for a turn, and the invitations of a new leader.
+ * Queues of members' polls and ledger queries, and the invitations of a new
+ * leader.
  *
- * Guards against a crowd of members that unseats the leader: the group's own
- * messages come by the same socket. So the socket is emptied at once, what
- * members ask is put aside unopened, and each turn of the loop begins only as
- * much of it as its time allows. Polls go first: a list of flows that are over
- * helps callers only once balancers are ready.
+ * Load pattern: many members send polls at once, on the socket that also
+ * carries the group's own messages. Without queues the leader answers polls
+ * while its heartbeats wait, and loses the leadership. Therefore the socket is
+ * drained at once, polls and queries are queued before their seal is verified,
+ * and each loop iteration starts only as many of them as its time budget
+ * allows. Polls go first: a list of closed flows helps callers only once
+ * balancers are ready.
  */
 
 #include <rpc/rpc.h>
@@ -19,27 +21,27 @@
 #include "dy_ledger.h"
 
 /*
- * Polls are begun for so long in a turn of the loop, in ms: a third of a
- * heartbeat, so that a follower's answer is not late by more.
+ * Time budget for queued messages in one loop iteration: a third of a
+ * heartbeat, so that a follower's answer is not delayed by more.
  */
-#define TURN_MS 10
+#define ITERATION_BUDGET_MS 10
 
-/* The clock is read after so many polls. */
-#define POLLS_A_LOOK 4
+/* Messages started between two readings of the clock. */
+#define POLLS_PER_CLOCK_READ 4
 
 /*
- * Polls waiting for the log; more wait in the queue, where their copies find
- * them.
+ * Polls that wait for the log. More stay in the queue, which detects their
+ * retransmissions.
  */
 #define REQUESTS_MAX 1024
 
-struct control_intake {
+struct control_poll_queue {
 	dy_control_t *control;
-	dy_poll_queue_t *queue;
-	dy_poll_queue_t *lists; /* questions for them */
+	dy_poll_queue_t *polls;
+	dy_poll_queue_t *ledger_queries;
 	dy_invitations_t *invitations;
-	uv_idle_t *idle; /* active while anything waits */
-	uint64_t led_ms; /* lead confirmed; 0: not, or not leading */
+	uv_idle_t *idle;	    /* active while messages are queued */
+	uint64_t lead_confirmed_ms; /* 0: not a confirmed leader */
 };
 
 static void free_handle(uv_handle_t *handle)
@@ -47,9 +49,9 @@
 	g_free(handle);
 }
 
-static void begin_poll(control_intake_t *intake, dy_queued_poll_t *poll)
+static void start_poll(control_poll_queue_t *queue, dy_queued_poll_t *poll)
 {
-	dy_control_t *control = intake->control;
+	dy_control_t *control = queue->control;
 	struct sockaddr_storage from;
 	dy_sealed_t message;
 
@@ -57,37 +59,38 @@
 	if (dy_seal_open(control->seal, poll->bytes, poll->len, &message) !=
 		    DY_SEAL_OK ||
 	    !control_poll(control, &message, (struct sockaddr *)&from))
-		dy_poll_queue_complete(intake->queue, &poll->from, poll->xid);
+		dy_poll_queue_complete(queue->polls, &poll->from, poll->xid);
 	g_free(poll->bytes);
 }
 
-static void give_list(control_intake_t *intake, dy_queued_poll_t *ask)
+static void answer_ledger_query(control_poll_queue_t *queue,
+				dy_queued_poll_t *query)
 {
-	dy_control_t *control = intake->control;
+	dy_control_t *control = queue->control;
 	struct sockaddr_storage from;
 	dy_sealed_t message;
 
-	dy_address_write(&ask->from, &from);
-	if (dy_seal_open(control->seal, ask->bytes, ask->len, &message) ==
+	dy_address_write(&query->from, &from);
+	if (dy_seal_open(control->seal, query->bytes, query->len, &message) ==
 	    DY_SEAL_OK)
 		control_ledger_receive(control->ledger, &message,
 				       (struct sockaddr *)&from);
-	dy_poll_queue_complete(intake->lists, &ask->from, ask->xid);
-	g_free(ask->bytes);
+	dy_poll_queue_complete(queue->ledger_queries, &query->from, query->xid);
+	g_free(query->bytes);
 }
 
-/* Begin what goes first. Returns 0 if there is nothing to begin now. */
-static int begin_next(control_intake_t *intake)
+/* Starts the next queued message. Returns 0 if none can start now. */
+static int start_next(control_poll_queue_t *queue)
 {
-	uint64_t now = control_now_ms(intake->control);
+	uint64_t now = control_now_ms(queue->control);
 	dy_queued_poll_t next;
 
-	if (intake->control->request_count >= REQUESTS_MAX)
+	if (queue->control->request_count >= REQUESTS_MAX)
 		return 0;
-	if (dy_poll_queue_dequeue(intake->queue, now, &next))
-		begin_poll(intake, &next);
-	else if (dy_poll_queue_dequeue(intake->lists, now, &next))
-		give_list(intake, &next);
+	if (dy_poll_queue_dequeue(queue->polls, now, &next))
+		start_poll(queue, &next);
+	else if (dy_poll_queue_dequeue(queue->ledger_queries, now, &next))
+		answer_ledger_query(queue, &next);
 	else
 		return 0;
 	return 1;
@@ -95,44 +98,48 @@
 
 static void on_idle(uv_idle_t *idle)
 {
-	control_intake_t *intake = idle->data;
-	uint64_t end_ns = uv_hrtime() + TURN_MS * G_GUINT64_CONSTANT(1000000);
+	control_poll_queue_t *queue = idle->data;
+	uint64_t end_ns =
+		uv_hrtime() + ITERATION_BUDGET_MS * G_GUINT64_CONSTANT(1000000);
 	unsigned begun = 0;
 
 	do {
-		if (!begin_next(intake)) {
+		if (!start_next(queue)) {
 			uv_idle_stop(idle);
 			return;
 		}
-	} while (++begun % POLLS_A_LOOK || uv_hrtime() < end_ns);
+	} while (++begun % POLLS_PER_CLOCK_READ || uv_hrtime() < end_ns);
 }
 
-control_intake_t *control_intake_create(dy_control_t *control)
+control_poll_queue_t *control_poll_queue_create(dy_control_t *control)
 {
-	control_intake_t *intake = g_new0(control_intake_t, 1);
-
-	intake->control = control;
-	intake->queue = dy_poll_queue_create();
-	intake->lists = dy_poll_queue_create();
-	intake->invitations = dy_invitations_create();
-	intake->idle = g_new0(uv_idle_t, 1);
-	uv_idle_init(dy_loop_uv(control->loop), intake->idle);
-	intake->idle->data = intake;
-	return intake;
+	control_poll_queue_t *queue = g_new0(control_poll_queue_t, 1);
+
+	queue->control = control;
+	queue->polls = dy_poll_queue_create();
+	queue->ledger_queries = dy_poll_queue_create();
+	queue->invitations = dy_invitations_create();
+	queue->idle = g_new0(uv_idle_t, 1);
+	uv_idle_init(dy_loop_uv(control->loop), queue->idle);
+	queue->idle->data = queue;
+	return queue;
 }
 
-void control_intake_destroy(control_intake_t *intake)
+void control_poll_queue_destroy(control_poll_queue_t *queue)
 {
-	if (!intake)
+	if (!queue)
 		return;
-	uv_close((uv_handle_t *)intake->idle, free_handle);
-	dy_poll_queue_destroy(intake->queue);
-	dy_poll_queue_destroy(intake->lists);
-	dy_invitations_destroy(intake->invitations);
-	g_free(intake);
+	uv_close((uv_handle_t *)queue->idle, free_handle);
+	dy_poll_queue_destroy(queue->polls);
+	dy_poll_queue_destroy(queue->ledger_queries);
+	dy_invitations_destroy(queue->invitations);
+	g_free(queue);
 }
 
-/* The kind stands first in a poll; a lie costs its teller a turn at most. */
+/*
+ * Reads the member kind, the first field of a poll. The message is not yet
+ * authenticated; a false kind only changes the sender's own order in the queue.
+ */
 static int is_balancer(const dy_rpc_call_t *call)
 {
 	uint32_t kind;
@@ -143,38 +150,38 @@
 	return ntohl(kind) == DY_MEMBER_BALANCER;
 }
 
-/* The queue of what the call asks for; NULL if it does not wait. */
-static dy_poll_queue_t *queue_of(const control_intake_t *intake,
+/* Returns the queue for a call, or NULL if it is processed at once. */
+static dy_poll_queue_t *queue_of(const control_poll_queue_t *queue,
 				 const dy_rpc_call_t *call)
 {
 	if (call->program == DY_CONTROL_PROGRAM &&
 	    call->procedure == DY_CONTROL_POLL)
-		return intake->queue;
+		return queue->polls;
 	if (call->program == DY_LEDGER_PROGRAM &&
 	    call->procedure == DY_LEDGER_ASK)
-		return intake->lists;
+		return queue->ledger_queries;
 	return NULL;
 }
 
-int control_intake_take(control_intake_t *intake, const uint8_t *bytes,
-			size_t len, const struct sockaddr *from)
+int control_poll_queue_put(control_poll_queue_t *queue, const uint8_t *bytes,
+			   size_t len, const struct sockaddr *from)
 {
-	dy_control_t *control = intake->control;
-	dy_poll_queue_t *queue;
+	dy_control_t *control = queue->control;
+	dy_poll_queue_t *polls;
 	dy_address_t address;
 	dy_rpc_call_t call;
 
 	if (dy_rpc_parse_call(bytes, len, &call))
 		return 0;
-	queue = queue_of(intake, &call);
-	if (!queue)
+	polls = queue_of(queue, &call);
+	if (!polls)
 		return 0;
 	dy_address_load(&address, from);
-	switch (dy_poll_queue_enqueue(queue, &address, call.xid,
+	switch (dy_poll_queue_enqueue(polls, &address, call.xid,
 				      is_balancer(&call), bytes, len,
 				      control_now_ms(control))) {
 	case DY_POLL_QUEUED:
-		uv_idle_start(intake->idle, on_idle);
+		uv_idle_start(queue->idle, on_idle);
 		break;
 	case DY_POLL_REPLACED:
 	case DY_POLL_DUPLICATE:
@@ -187,29 +194,29 @@
 	return 1;
 }
 
-void control_intake_end(control_intake_t *intake, const struct sockaddr *from,
-			uint32_t xid)
+void control_poll_queue_finish(control_poll_queue_t *queue,
+			       const struct sockaddr *from, uint32_t xid)
 {
 	dy_address_t address;
 
 	dy_address_load(&address, from);
-	dy_poll_queue_complete(intake->queue, &address, xid);
-	if (dy_poll_queue_count(intake->queue) ||
-	    dy_poll_queue_count(intake->lists))
-		uv_idle_start(intake->idle, on_idle);
+	dy_poll_queue_complete(queue->polls, &address, xid);
+	if (dy_poll_queue_count(queue->polls) ||
+	    dy_poll_queue_count(queue->ledger_queries))
+		uv_idle_start(queue->idle, on_idle);
 }
 
-static void send_invitation(control_intake_t *intake,
+static void send_invitation(control_poll_queue_t *queue,
 			    const dy_registry_member_t *member)
 {
-	dy_control_t *control = intake->control;
+	dy_control_t *control = queue->control;
 	dy_seal_head_t head = { 0, DY_MEMBER_PROGRAM, DY_MEMBER_INVITE };
 	dy_address_t to = { .port = member->port };
 	dy_invite_t invite;
 	size_t len;
 
 	memcpy(to.ip, member->ip, DY_IP_BYTES);
-	control_show_leader(control, &invite.leader);
+	control_leader_address(control, &invite.leader);
 	len = dy_seal_write_call(control->seal, &head,
 				 (xdrproc_t)xdr_dy_invite_t, &invite,
 				 control->out, sizeof(control->out));
@@ -219,87 +226,90 @@
 	++*control->counters.invitations;
 }
 
-static void invite_some(control_intake_t *intake)
+static void send_invitations(control_poll_queue_t *queue)
 {
-	dy_control_t *control = intake->control;
+	dy_control_t *control = queue->control;
 	const dy_registry_member_t *member;
 	uint64_t id;
 
-	if (!intake->led_ms)
+	if (!queue->lead_confirmed_ms)
 		return;
-	while (dy_invitations_next(intake->invitations, control_now_ms(control),
+	while (dy_invitations_next(queue->invitations, control_now_ms(control),
 				   &id)) {
 		member = dy_registry_find_member(control->registry, id);
 		if (member && dy_member_is_live(member) && member->port)
-			send_invitation(intake, member);
+			send_invitation(queue, member);
 		else
-			dy_invitations_remove(intake->invitations, id);
+			dy_invitations_remove(queue->invitations, id);
 	}
 }
 
-void control_intake_heard(control_intake_t *intake, uint64_t member)
+void control_poll_queue_poll_answered(control_poll_queue_t *queue,
+				      uint64_t member)
 {
-	dy_invitations_remove(intake->invitations, member);
-	invite_some(intake);
+	dy_invitations_remove(queue->invitations, member);
+	send_invitations(queue);
 }
 
-static void add_guest(void *context, const dy_registry_member_t *member)
+static void add_invitation(void *context, const dy_registry_member_t *member)
 {
-	control_intake_t *intake = context;
+	control_poll_queue_t *queue = context;
 
 	if (dy_member_is_live(member) && member->state != DY_MEMBER_SUSPECT)
-		dy_invitations_add(intake->invitations, member->id,
+		dy_invitations_add(queue->invitations, member->id,
 				   member->kind == DY_MEMBER_BALANCER);
 }
 
 /*
- * Confirmed as the leader: only now is all that was acknowledged applied here,
- * and with it every member's address.
+ * Leadership is confirmed: only now are all acknowledged entries applied here,
+ * including every member's address.
  */
 static void on_lead_confirmed(void *context, dy_raft_result_t result,
 			      uint64_t index)
 {
-	control_intake_t *intake = context;
+	control_poll_queue_t *queue = context;
 
 	(void)index;
 	if (result != DY_RAFT_DONE)
 		return;
-	intake->led_ms = control_now_ms(intake->control);
-	dy_registry_each_member(intake->control->registry, add_guest, intake);
-	invite_some(intake);
+	queue->lead_confirmed_ms = control_now_ms(queue->control);
+	dy_registry_each_member(queue->control->registry, add_invitation,
+				queue);
+	send_invitations(queue);
 }
 
-void control_intake_lead(control_intake_t *intake, int leads)
+void control_poll_queue_set_leading(control_poll_queue_t *queue, int leads)
 {
-	intake->led_ms = 0;
-	dy_invitations_clear(intake->invitations);
+	queue->lead_confirmed_ms = 0;
+	dy_invitations_clear(queue->invitations);
 	if (leads)
-		dy_raft_read(intake->control->raft, on_lead_confirmed, intake);
+		dy_raft_read(queue->control->raft, on_lead_confirmed, queue);
 }
 
-uint64_t control_intake_pace_ms(const control_intake_t *intake,
-				unsigned members)
+uint64_t control_poll_queue_interval_ms(const control_poll_queue_t *queue,
+					unsigned members)
 {
-	return dy_poll_queue_interval_ms(intake->queue, members,
-					 control_now_ms(intake->control));
+	return dy_poll_queue_interval_ms(queue->polls, members,
+					 control_now_ms(queue->control));
 }
 
-void control_intake_tick(control_intake_t *intake)
+void control_poll_queue_tick(control_poll_queue_t *queue)
 {
-	invite_some(intake);
+	send_invitations(queue);
 }
 
 /*
- * Taking in a control costs the leader a copy of its state and some rounds of
- * the log, just when all members wait for it.
+ * Joins wait this long after the leadership was confirmed, unless all invited
+ * members have polled. Adding a control costs the leader a copy of its state
+ * and some rounds of the log, while all members wait for answers.
  */
-#define JOINS_WAIT_MS 1000
+#define JOIN_DELAY_MS 1000
 
-int control_intake_allows_joins(const control_intake_t *intake)
+int control_poll_queue_allows_joins(const control_poll_queue_t *queue)
 {
-	uint64_t now = control_now_ms(intake->control);
+	uint64_t now = control_now_ms(queue->control);
 
-	return intake->led_ms &&
-	       (dy_invitations_is_empty(intake->invitations) ||
-		now - intake->led_ms >= JOINS_WAIT_MS);
+	return queue->lead_confirmed_ms &&
+	       (dy_invitations_is_empty(queue->invitations) ||
+		now - queue->lead_confirmed_ms >= JOIN_DELAY_MS);
 }
--- a/src/process/control/control_private.h
+++ b/src/process/control/control_private.h
@@ -14,31 +14,33 @@
 #include "uploads.h"
 
 /*
- * Bytes of the largest datagram sent: a raft message of
- * DY_RAFT_MESSAGE_BYTES, or 64 deltas of the longest names, with the heads.
- * Below the 65,507 that UDP carries.
+ * Largest datagram sent: a raft message of DY_RAFT_MESSAGE_BYTES, or 64 deltas
+ * with the longest names, plus headers. Below the 65,507 bytes of UDP.
  */
-#define DATAGRAM_BYTES 60000
+#define DATAGRAM_MAX_BYTES 60000
 
-/* The replicated log's clock: three in a heartbeat of 30 ms. */
-#define TICK_MS 10
+/* Tick interval of the replicated log: three ticks per heartbeat of 30 ms. */
+#define TICK_INTERVAL_MS 10
 
-/* Leases, keys, joins and stops are looked at this often. */
-#define REVIEW_MS 100
+/* Interval of the review of leases, keys, joins and a pending stop. */
+#define REVIEW_INTERVAL_MS 100
 
-/* A planned stop ends by then, whatever is still waiting. */
-#define STOP_MS 5000
+/* A planned stop ends after this time even if requests are still pending. */
+#define STOP_TIMEOUT_MS 5000
 
-/* A control that is in no group says so after, and then each, 10 s. */
-#define WAITING_MS 10000
+/*
+ * A control outside any group logs that after this time, and then at this
+ * interval.
+ */
+#define JOIN_WAIT_LOG_INTERVAL_MS 10000
 
-/* Marks proposed in one review: a failure domain is marked in seconds. */
-#define MARKS_MAX 256
+/* Marks proposed in one review: enough to mark a failure domain in seconds. */
+#define MARKS_PER_REVIEW_MAX 256
 
 typedef struct control_counters {
 	uint64_t *polls;
 	uint64_t *fetches;
-	uint64_t *image_asks;
+	uint64_t *image_requests;
 	uint64_t *images;
 	uint64_t *puts;
 	uint64_t *changes;
@@ -55,30 +57,30 @@
 	uint64_t *polls_shed;
 	uint64_t *invitations;
 	uint64_t *uploads_dropped;
-	uint64_t *led;
-	uint64_t *founded;
+	uint64_t *elections_won;
+	uint64_t *groups_bootstrapped;
 	uint64_t *learners_added;
 	uint64_t *members_promoted;
 	uint64_t *members_removed;
 	uint64_t *joins_refused;
 	uint64_t *disk_failures;
 	uint64_t *snapshots;
-	uint64_t *untried;
+	uint64_t *promoted_untried;
 	uint64_t *ledger_failures;
 	uint64_t *events[DY_EVENTS];
 } control_counters_t;
 
 typedef struct control_services control_services_t;
-typedef struct control_raises control_raises_t;
+typedef struct control_publisher control_publisher_t;
 typedef struct control_ledger control_ledger_t;
-typedef struct control_intake control_intake_t;
+typedef struct control_poll_queue control_poll_queue_t;
 typedef struct control_images control_images_t;
 
-/* A slot that was given to an address, and when. */
-typedef struct seat {
+/* A slot assigned to a joining control's address. */
+typedef struct slot_claim {
 	dy_address_t address;
-	uint64_t given_ms; /* 0: not given */
-} seat_t;
+	uint64_t claimed_ms; /* 0: not claimed */
+} slot_claim_t;
 
 struct dy_control {
 	dy_control_options_t options;
@@ -92,38 +94,41 @@
 	dy_raft_t *raft;
 	dy_registry_t *registry;
 	uploads_t *uploads;
-	recent_documents_t *recent;
+	recent_documents_t *recent_documents;
 	control_services_t *services;
-	bootstrap_t founding;
+	bootstrap_t bootstrap;
 	uv_prepare_t *prepare;
 	uv_check_t *check;
 	dy_list_t requests;
 	unsigned request_count;
 	uint64_t started_ms;
-	uint64_t reviewed_ms;
-	uint64_t stop_at_ms; /* 0: not stopping */
+	uint64_t last_review_ms;
+	uint64_t stop_deadline_ms; /* 0: not stopping */
 	int transferring;
 	int failed;
-	dy_control_exit_reason_t end;
-	uint64_t led_ms;   /* when a leader was last known */
-	uint64_t asked_ms; /* about the own membership */
-	seat_t seats[DY_RAFT_MEMBERS_MAX + 1]; /* given to newcomers */
-	control_raises_t *raises;
+	dy_control_exit_reason_t exit_reason;
+	uint64_t leader_seen_ms;      /* last time with a known leader */
+	uint64_t membership_query_ms; /* last membership query sent */
+	slot_claim_t slot_claims[DY_RAFT_MEMBERS_MAX + 1]; /* by slot */
+	control_publisher_t *publisher;
 	control_ledger_t *ledger;
-	control_intake_t *intake;
+	control_poll_queue_t *poll_queue;
 	control_images_t *images;
-	int served; /* was a majority of the peers ever voting? */
-	int key_proposed;
-	int tried_proposed;
-	/* Options, but no shorter than the documents' longest pause. */
+	int has_served;
+	int key_step_pending;
+	int tried_pending;
+	/*
+	 * From the options, but not shorter than the longest session idle time
+	 * of the documents.
+	 */
 	dy_lease_times_t leases;
 	dy_key_times_t keys;
-	uint64_t idle_numbers;
+	uint64_t reviewed_document_numbers;
 	dy_log_limit_t event_limits[DY_EVENTS];
 	dy_log_limit_t join_limit;
 	dy_log_limit_t waiting_limit;
 	dy_log_limit_t malformed_limit;
-	uint8_t out[DATAGRAM_BYTES];
+	uint8_t out[DATAGRAM_MAX_BYTES];
 };
 
 /* A call that waits for the log. */
@@ -132,7 +137,7 @@
 	dy_control_t *control;
 	struct sockaddr_storage from;
 	uint32_t xid;
-	xdrproc_t proc; /* of args, which it frees */
+	xdrproc_t proc; /* codec of args; also frees it */
 	union {
 		dy_poll_t poll;
 		dy_change_t change;
@@ -140,28 +145,41 @@
 	} args;
 } request_t;
 
-/* control_counters.c; sets the limits of log lines too. */
+/* control_counters.c: registers the counters and sets the log rate limits. */
 void control_register_counters(dy_control_t *control);
 
 /* control.c */
 uint64_t control_now_ms(const dy_control_t *control);
-/* Whether this control leads a group that may serve. */
+/* Returns whether this control leads a group with enough voters to serve. */
 int control_serves(const dy_control_t *control);
-/* DONE if a request that was kept may begin. */
+/*
+ * Returns DONE if a request may start, NOT_LEADER, or BUSY if the group has too
+ * few voters.
+ */
 dy_raft_result_t control_admit(const dy_control_t *control);
-/* Address of the leader; port 0 if none is known. */
-void control_show_leader(const dy_control_t *control, dy_address_t *leader);
-/* The status that a request ends with when the log did not take it. */
-dy_status_t control_status_of(dy_control_t *control, dy_raft_result_t result);
+/* Sets leader to the leader's address; port 0 if none is known. */
+void control_leader_address(const dy_control_t *control, dy_address_t *leader);
+/*
+ * Returns the status of a request whose log operation had this result, and
+ * counts failures.
+ */
+dy_status_t control_status_from_result(dy_control_t *control,
+				       dy_raft_result_t result);
+/* Sends the reply to a call; proc encodes result. */
 void control_answer(dy_control_t *control, const struct sockaddr *to,
 		    uint32_t xid, xdrproc_t proc, void *result);
-/* Count a body that does not decode. */
+/* Counts and logs a message body that does not decode. */
 void control_count_malformed(dy_control_t *control, uint32_t procedure);
+/* Proposes a command to the log. done is called only if this returns DONE. */
 dy_raft_result_t control_propose(dy_control_t *control,
 				 const dy_command_t *command,
 				 dy_raft_done_cb_t *done, void *context);
 
-/* Requests. NULL: malformed, and nothing is to be done. */
+/*
+ * Decodes a message into a pending request. Returns NULL if the message is
+ * malformed; the caller then does nothing more. The request is freed by
+ * control_drop_request(), also through control_answer_request().
+ */
 request_t *control_keep_request(dy_control_t *control,
 				const dy_sealed_t *message,
 				const struct sockaddr *from, xdrproc_t proc,
@@ -169,12 +187,15 @@
 void control_drop_request(request_t *request);
 void control_answer_request(request_t *request, xdrproc_t proc, void *result);
 
-/* control_poll.c, control_change.c, control_inspect.c: one call each. */
-/* How often members poll, and how long a lease lasts, at the size of now. */
-uint32_t control_poll_ms(const dy_control_t *control);
+/* control_poll.c and control_change.c: one call each. */
+/* Poll interval and lease duration at the current group size. */
+uint32_t control_poll_interval_ms(const dy_control_t *control);
 uint64_t control_lease_ms(const dy_control_t *control);
 
-/* Begin a poll. Returns whether it will be ended as a request. */
+/*
+ * Starts a poll. Returns 1 if it became a pending request, which removes it
+ * from the poll queue when it ends, or 0 if the message is malformed.
+ */
 int control_poll(dy_control_t *control, const dy_sealed_t *message,
 		 const struct sockaddr *from);
 void control_change(dy_control_t *control, const dy_sealed_t *message,
@@ -184,24 +205,28 @@
 void control_fetch(dy_control_t *control, const dy_sealed_t *message,
 		   const struct sockaddr *from);
 /*
- * Propose the bytes of a document that the registry does not hold. They stand
- * before the change in the log, so every control has them when it applies it.
+ * Proposes the bytes of a document that the registry does not hold. They
+ * precede the change in the log, so that every control has them when it applies
+ * the change.
  */
 dy_raft_result_t control_propose_content(dy_control_t *control,
 					 const char *digest,
 					 const uint8_t *bytes, uint32_t size);
 
-/* control_raise.c */
-control_raises_t *control_raises_create(dy_control_t *control);
-/* End what waits as UNAVAILABLE, and begin nothing more. */
-void control_raises_close(control_raises_t *raises);
-/* After the log has ended what is under way. */
-void control_raises_destroy(control_raises_t *raises);
+/* control_publish.c */
+control_publisher_t *control_publisher_create(dy_control_t *control);
+/* Finishes waiting publications as UNAVAILABLE and starts no more. */
+void control_publisher_close(control_publisher_t *publisher);
+/* Call it after the log has finished the publications in progress. */
+void control_publisher_destroy(control_publisher_t *publisher);
 
 /* control_domain.c */
-/* Whether settings, a member or an earlier order name the failure domain. */
-int control_knows_domain(const dy_control_t *control, const char *domain);
-/* Log what an evacuation that was just committed leaves of each service. */
+/*
+ * Returns whether the settings, a member or an earlier change name the failure
+ * domain.
+ */
+int control_has_domain(const dy_control_t *control, const char *domain);
+/* Logs how many targets of each service remain after a committed evacuation. */
 void control_log_evacuation(dy_control_t *control, const char *domain);
 
 /* control_ledger.c */
@@ -210,75 +235,93 @@
 void control_ledger_receive(control_ledger_t *ledger,
 			    const dy_sealed_t *message,
 			    const struct sockaddr *from);
-/* Write the lists if they have changed; call it at each tick. */
+/* Writes the lists to disk if they have changed; call it at each tick. */
 void control_ledger_tick(control_ledger_t *ledger);
 
-/* control_intake.c */
-control_intake_t *control_intake_create(dy_control_t *control);
-void control_intake_destroy(control_intake_t *intake);
-/* Put a poll, or a question for a list, aside. Returns whether it was one. */
-int control_intake_take(control_intake_t *intake, const uint8_t *bytes,
-			size_t len, const struct sockaddr *from);
-/* A request ended; if it was a poll, its copies may come again. */
-void control_intake_end(control_intake_t *intake, const struct sockaddr *from,
-			uint32_t xid);
-/* A member's poll was answered by this leader. */
-void control_intake_heard(control_intake_t *intake, uint64_t member);
-/* This control begins to lead, or follows. */
-void control_intake_lead(control_intake_t *intake, int leads);
-/* Time between polls of that many members, in ms, by what polls cost here. */
-uint64_t control_intake_pace_ms(const control_intake_t *intake,
-				unsigned members);
-void control_intake_tick(control_intake_t *intake);
-/* Whether controls may be taken in now. */
-int control_intake_allows_joins(const control_intake_t *intake);
+/* control_poll_queue.c */
+control_poll_queue_t *control_poll_queue_create(dy_control_t *control);
+void control_poll_queue_destroy(control_poll_queue_t *queue);
+/* Queues a poll or a ledger query. Returns 0 if the datagram is neither. */
+int control_poll_queue_put(control_poll_queue_t *queue, const uint8_t *bytes,
+			   size_t len, const struct sockaddr *from);
+/*
+ * Marks a request as finished: if it was a poll, a retransmission of it is
+ * queued again instead of being dropped as a duplicate.
+ */
+void control_poll_queue_finish(control_poll_queue_t *queue,
+			       const struct sockaddr *from, uint32_t xid);
+/* Call it when this leader has answered a member's poll. */
+void control_poll_queue_poll_answered(control_poll_queue_t *queue,
+				      uint64_t member);
+/* Call it when this control becomes the leader or a follower. */
+void control_poll_queue_set_leading(control_poll_queue_t *queue, int leads);
+/*
+ * Returns the poll interval in ms at which this control can serve that many
+ * members, from the measured cost of polls.
+ */
+uint64_t control_poll_queue_interval_ms(const control_poll_queue_t *queue,
+					unsigned members);
+void control_poll_queue_tick(control_poll_queue_t *queue);
+/* Returns whether controls may join now. */
+int control_poll_queue_allows_joins(const control_poll_queue_t *queue);
 
-/* control_images.c: the state that a member starts from. */
+/* control_images.c: the state from which a new member starts. */
 control_images_t *control_images_create(dy_control_t *control);
 void control_images_destroy(control_images_t *images);
-void control_images_ask(control_images_t *images, const dy_sealed_t *message,
-			const struct sockaddr *from);
-/* The bytes of one by its digest, or NULL. */
+void control_images_answer(control_images_t *images, const dy_sealed_t *message,
+			   const struct sockaddr *from);
+/* Returns the bytes of the image with this digest, or NULL. */
 const uint8_t *control_images_find(const control_images_t *images,
 				   const void *digest, uint32_t *len);
 
-/* control_services.c: a line for each service in force. */
+/* control_services.c: a status line for each service in force. */
 control_services_t *control_services_create(void);
 void control_services_destroy(control_services_t *services);
 void control_services_add(dy_control_t *control, dy_status_page_t *page);
 
+/* control_inspect.c */
 void control_inspect(dy_control_t *control, const dy_sealed_t *message,
 		     const struct sockaddr *from);
 
 /* control_group.c */
 void control_receive_group(dy_control_t *control, const dy_sealed_t *message,
 			   const struct sockaddr *from);
-/* End the loop, and with it the control's life. */
-void control_end(dy_control_t *control, dy_control_exit_reason_t end);
+/* control.c: ends the loop, and with it the control, for the given reason. */
+void control_terminate(dy_control_t *control, dy_control_exit_reason_t reason);
 
-/* control_place.c: an open group. */
+/* control_membership.c: groups with dynamic membership. */
+/* Sets the peer addresses from the log's configuration. */
 void control_refresh_peers(dy_control_t *control);
-/* Note the address of an empty control that holds a slot of no member. */
-void control_note_newcomer(dy_control_t *control, const dy_hello_t *hello,
+/*
+ * Records the address of a control with an empty store whose slot no member
+ * holds.
+ */
+void control_record_joiner(dy_control_t *control, const dy_hello_t *hello,
 			   const dy_address_t *from);
 void control_receive_find(dy_control_t *control, const dy_sealed_t *message,
 			  const struct sockaddr *from);
 void control_receive_place(dy_control_t *control, const dy_sealed_t *message);
-void control_ask_membership(dy_control_t *control);
-/* Give up a slot that an empty control waits in, in vain. */
-void control_check_waiting(dy_control_t *control);
-/* Whether an open group has a place for one more voter. */
-int control_wants_voter(dy_control_t *control);
-/* Whether there is a silent voter to let go; id is set to it. */
-int control_find_surplus(dy_control_t *control, dy_voter_id_t *id);
+void control_query_membership(dy_control_t *control);
+/* Ends a control with an empty store that has not been added in time. */
+void control_check_join_timeout(dy_control_t *control);
+/* Returns whether the group needs one more voter. */
+int control_needs_voter(dy_control_t *control);
+/*
+ * Returns 1 with id set to an unresponsive voter that can be removed, else 0.
+ */
+int control_find_surplus_voter(dy_control_t *control, dy_voter_id_t *id);
 
+/* control_group.c */
 void control_send_raft(void *control, const dy_raft_message_t *message);
 void control_review_group(dy_control_t *control);
 unsigned control_count_voters(const dy_control_t *control);
 
-/* control_review.c: what the leader does by time. */
+/* control_review.c: the leader's periodic tasks. */
 void control_review(dy_control_t *control);
-/* Whether the log now says that trial's document was in force everywhere. */
-void control_try_document(dy_control_t *control, int promoting);
+/*
+ * Proposes to record that the document of environment `trial` was in force at
+ * all live members, if it was. promoting: an operator is about to promote it.
+ */
+void control_propose_tried(dy_control_t *control, int promoting);
 
 #endif
--- a/src/process/control/control_publish.c
+++ b/src/process/control/control_publish.c
@@ -1,12 +1,12 @@
 /*
- * Documents that are brought into force under their own, growing numbers.
+ * Publication of documents that carry their own, increasing version numbers.
  *
- * Load pattern: an operator's tool sends many versions in quick succession,
- * each as large as the whole configuration, and a control has a small part of
- * a core. Without this each would be written to the log and synced by every
- * control, and the last would wait for all of them. Only one is under way at
- * a time; of those that wait meanwhile the highest is next, and the others
- * are overtaken by it and acknowledged with it.
+ * Load pattern: an operator's tool publishes many versions in quick succession,
+ * each as large as the whole configuration, and a control has a fraction of a
+ * core. Without this module every control would write and sync each version to
+ * its log, and the last version would wait for all others. Only one publication
+ * is proposed at a time. Of those that wait meanwhile, the highest version is
+ * proposed next; it supersedes the others, which are acknowledged with it.
  */
 
 #include <string.h>
@@ -16,225 +16,239 @@
 #include "damaskyard/invariant.h"
 
 /*
- * Documents that may wait. Eight orders may be in progress at once and each
- * may come once more to another control; beyond that is no operator.
+ * Publications held at once. An operator has at most eight in progress and may
+ * send each once more to another control; more than that is not normal
+ * operation.
  */
-#define ORDERS_MAX 32
+#define PUBLICATIONS_MAX 32
 
-typedef enum order_state {
-	ORDER_NONE,
-	ORDER_WAITING,
-	ORDER_UNDER_WAY
-} order_state_t;
+typedef enum publication_state {
+	PUBLICATION_FREE,
+	PUBLICATION_WAITING,
+	PUBLICATION_IN_PROGRESS
+} publication_state_t;
 
-typedef struct order {
-	order_state_t state;
-	uint64_t arrived; /* of two with one number the first counts */
+typedef struct publication {
+	publication_state_t state;
+	uint64_t sequence; /* of two equal numbers, the lower one wins */
 	uint64_t number;
 	uint8_t *bytes;
 	uint32_t size;
 	dy_control_done_cb_t *done;
 	void *context;
-} order_t;
+} publication_t;
 
-struct control_raises {
+struct control_publisher {
 	dy_control_t *control;
-	order_t orders[ORDERS_MAX];
-	order_t *best; /* of those under way; NULL: none is */
-	uint64_t arrivals;
-	int ending; /* callbacks are being made; nothing is begun */
+	publication_t items[PUBLICATIONS_MAX];
+	publication_t *highest; /* of those in progress; NULL: none */
+	uint64_t last_sequence;
+	int in_callbacks; /* callbacks are running; start nothing */
 	int closed;
-	char request[16]; /* of those under way */
+	char request_id[16]; /* of the proposed change */
 };
 
-control_raises_t *control_raises_create(dy_control_t *control)
+control_publisher_t *control_publisher_create(dy_control_t *control)
 {
-	control_raises_t *raises = g_new0(control_raises_t, 1);
+	control_publisher_t *publisher = g_new0(control_publisher_t, 1);
 
-	raises->control = control;
-	return raises;
+	publisher->control = control;
+	return publisher;
 }
 
-/* The place is free before done() is called, which may raise another. */
-static void end_order(order_t *order, dy_status_t status, const char *message)
+/* Frees the item before it calls done(), which may publish another document. */
+static void finish(publication_t *publication, dy_status_t status,
+		   const char *message)
 {
-	order_t ended = *order;
+	publication_t copy = *publication;
 
-	memset(order, 0, sizeof(*order));
-	ended.done(ended.context, status, message);
-	g_free(ended.bytes);
+	memset(publication, 0, sizeof(*publication));
+	copy.done(copy.context, status, message);
+	g_free(copy.bytes);
 }
 
-static void end_orders(control_raises_t *raises, order_state_t state,
-		       dy_status_t status, const char *message)
+static void finish_all(control_publisher_t *publisher,
+		       publication_state_t state, dy_status_t status,
+		       const char *message)
 {
 	int i;
 
-	for (i = 0; i < ORDERS_MAX; i++)
-		if (raises->orders[i].state == state)
-			end_order(&raises->orders[i], status, message);
+	for (i = 0; i < PUBLICATIONS_MAX; i++)
+		if (publisher->items[i].state == state)
+			finish(&publisher->items[i], status, message);
 }
 
-void control_raises_close(control_raises_t *raises)
+void control_publisher_close(control_publisher_t *publisher)
 {
-	if (!raises)
+	if (!publisher)
 		return;
-	raises->closed = 1;
-	end_orders(raises, ORDER_WAITING, DY_STATUS_UNAVAILABLE, "");
+	publisher->closed = 1;
+	finish_all(publisher, PUBLICATION_WAITING, DY_STATUS_UNAVAILABLE, "");
 }
 
-void control_raises_destroy(control_raises_t *raises)
+void control_publisher_destroy(control_publisher_t *publisher)
 {
-	if (!raises)
+	if (!publisher)
 		return;
-	end_orders(raises, ORDER_UNDER_WAY, DY_STATUS_UNAVAILABLE, "");
-	g_free(raises);
+	finish_all(publisher, PUBLICATION_IN_PROGRESS, DY_STATUS_UNAVAILABLE,
+		   "");
+	g_free(publisher);
 }
 
-static int is_before(const order_t *a, const order_t *b)
+static int has_precedence(const publication_t *a, const publication_t *b)
 {
 	return a->number > b->number ||
-	       (a->number == b->number && a->arrived < b->arrived);
+	       (a->number == b->number && a->sequence < b->sequence);
 }
 
-/* Put all that wait under way; the highest of them is best. */
-static void take_waiting(control_raises_t *raises)
+/* Moves all waiting publications into progress and finds the highest. */
+static void start_waiting(control_publisher_t *publisher)
 {
-	order_t *order;
+	publication_t *publication;
 	int i;
 
-	for (i = 0; i < ORDERS_MAX; i++) {
-		order = &raises->orders[i];
-		if (order->state != ORDER_WAITING)
+	for (i = 0; i < PUBLICATIONS_MAX; i++) {
+		publication = &publisher->items[i];
+		if (publication->state != PUBLICATION_WAITING)
 			continue;
-		order->state = ORDER_UNDER_WAY;
-		if (!raises->best || is_before(order, raises->best))
-			raises->best = order;
+		publication->state = PUBLICATION_IN_PROGRESS;
+		if (!publisher->highest ||
+		    has_precedence(publication, publisher->highest))
+			publisher->highest = publication;
 	}
 }
 
-static void begin(control_raises_t *raises);
+static void start_next(control_publisher_t *publisher);
 
-static void end_batch(control_raises_t *raises, dy_status_t status,
-		      const char *message)
+static void finish_batch(control_publisher_t *publisher, dy_status_t status,
+			 const char *message)
 {
-	raises->best = NULL;
-	raises->ending = 1;
-	end_orders(raises, ORDER_UNDER_WAY, status, message);
-	raises->ending = 0;
-	begin(raises);
+	publisher->highest = NULL;
+	publisher->in_callbacks = 1;
+	finish_all(publisher, PUBLICATION_IN_PROGRESS, status, message);
+	publisher->in_callbacks = 0;
+	start_next(publisher);
 }
 
 /*
- * The highest alone can be malformed: the others were never looked at, and
- * wait for the next time.
+ * Rejects the highest version only. The others were not validated and wait for
+ * the next round.
  */
-static void refuse_highest(control_raises_t *raises, const char *message)
+static void reject_highest(control_publisher_t *publisher, const char *message)
 {
-	order_t *best = raises->best;
+	publication_t *highest = publisher->highest;
 	int i;
 
-	raises->best = NULL;
-	end_order(best, DY_STATUS_MALFORMED, message);
-	for (i = 0; i < ORDERS_MAX; i++)
-		if (raises->orders[i].state == ORDER_UNDER_WAY)
-			raises->orders[i].state = ORDER_WAITING;
-	begin(raises);
+	publisher->highest = NULL;
+	finish(highest, DY_STATUS_MALFORMED, message);
+	for (i = 0; i < PUBLICATIONS_MAX; i++)
+		if (publisher->items[i].state == PUBLICATION_IN_PROGRESS)
+			publisher->items[i].state = PUBLICATION_WAITING;
+	start_next(publisher);
 }
 
 static void on_committed(void *context, dy_raft_result_t result, uint64_t index)
 {
-	control_raises_t *raises = context;
+	control_publisher_t *publisher = context;
 	const dy_change_result_t *answer;
 
 	if (result != DY_RAFT_DONE) {
-		end_batch(raises, control_status_of(raises->control, result),
-			  "the group lost its leader meanwhile");
+		finish_batch(
+			publisher,
+			control_status_from_result(publisher->control, result),
+			"the leader changed before the change was committed");
 		return;
 	}
-	answer = dy_registry_find_answer(raises->control->registry,
-					 raises->request);
+	answer = dy_registry_find_answer(publisher->control->registry,
+					 publisher->request_id);
 	dy_assert(answer);
 	dy_log_event(DY_LOG_INFO, "document_raised",
 		     "status=%d number=%lu index=%lu", answer->status,
 		     (unsigned long)answer->number, (unsigned long)index);
 	if (answer->status == DY_STATUS_MALFORMED)
-		refuse_highest(raises, answer->message);
+		reject_highest(publisher, answer->message);
 	else if (answer->status == DY_STATUS_OK ||
 		 answer->status == DY_STATUS_CONFLICT)
-		end_batch(raises, DY_STATUS_OK, "");
+		finish_batch(publisher, DY_STATUS_OK, "");
 	else
-		end_batch(raises, DY_STATUS_UNAVAILABLE, answer->message);
+		finish_batch(publisher, DY_STATUS_UNAVAILABLE, answer->message);
 }
 
 static void on_confirmed(void *context, dy_raft_result_t result, uint64_t index)
 {
-	control_raises_t *raises = context;
+	control_publisher_t *publisher = context;
 
 	(void)index;
-	end_batch(raises, control_status_of(raises->control, result), "");
+	finish_batch(publisher,
+		     control_status_from_result(publisher->control, result),
+		     "");
 }
 
-static dy_raft_result_t propose(control_raises_t *raises, const order_t *best)
+static dy_raft_result_t propose(control_publisher_t *publisher,
+				const publication_t *highest)
 {
-	dy_control_t *control = raises->control;
+	dy_control_t *control = publisher->control;
 	dy_command_t command = { .kind = DY_COMMAND_CHANGE };
 	dy_operator_change_t *args = &command.dy_command_t_u.change;
 	uint8_t digest[DY_DIGEST_BYTES];
 	dy_raft_result_t result;
 	uint32_t size;
 
-	dy_document_digest(best->bytes, best->size, digest);
+	dy_document_digest(highest->bytes, highest->size, digest);
 	if (!dy_registry_find_content(control->registry, digest, &size)) {
 		result = control_propose_content(control, (char *)digest,
-						 best->bytes, best->size);
+						 highest->bytes, highest->size);
 		if (result != DY_RAFT_DONE)
 			return result;
 	}
-	dy_random_fill(raises->request, sizeof(raises->request));
+	dy_random_fill(publisher->request_id, sizeof(publisher->request_id));
 	args->change.kind = DY_CHANGE_RAISE;
-	memcpy(args->change.request, raises->request, sizeof(raises->request));
+	memcpy(args->change.request, publisher->request_id,
+	       sizeof(publisher->request_id));
 	args->change.operator_name = "";
 	args->change.environment = (char *)dy_environment_name(DY_TRIAL);
-	args->change.number = best->number;
+	args->change.number = highest->number;
 	memcpy(args->change.digest, digest, sizeof(digest));
 	args->change.name = "";
-	return control_propose(control, &command, on_committed, raises);
+	return control_propose(control, &command, on_committed, publisher);
 }
 
-static void begin(control_raises_t *raises)
+static void start_next(control_publisher_t *publisher)
 {
-	dy_control_t *control = raises->control;
-	const dy_registry_document_t *held =
+	dy_control_t *control = publisher->control;
+	const dy_registry_document_t *current =
 		dy_registry_document(control->registry, DY_TRIAL);
 	dy_raft_result_t result;
 
-	if (raises->closed) {
-		end_orders(raises, ORDER_WAITING, DY_STATUS_UNAVAILABLE, "");
+	if (publisher->closed) {
+		finish_all(publisher, PUBLICATION_WAITING,
+			   DY_STATUS_UNAVAILABLE, "");
 		return;
 	}
-	if (raises->best || raises->ending)
+	if (publisher->highest || publisher->in_callbacks)
 		return;
-	take_waiting(raises);
-	if (!raises->best)
+	start_waiting(publisher);
+	if (!publisher->highest)
 		return;
 	result = control_admit(control);
-	if (result == DY_RAFT_DONE && raises->best->number > held->number)
-		result = propose(raises, raises->best);
+	if (result == DY_RAFT_DONE &&
+	    publisher->highest->number > current->number)
+		result = propose(publisher, publisher->highest);
 	else if (result == DY_RAFT_DONE)
-		result = dy_raft_read(control->raft, on_confirmed, raises);
+		result = dy_raft_read(control->raft, on_confirmed, publisher);
 	if (result != DY_RAFT_DONE)
-		end_batch(raises, control_status_of(control, result),
-			  "this control does not serve just now");
+		finish_batch(publisher,
+			     control_status_from_result(control, result),
+			     "this control is not serving at the moment");
 }
 
-static order_t *find_free(control_raises_t *raises)
+static publication_t *find_free(control_publisher_t *publisher)
 {
 	int i;
 
-	for (i = 0; i < ORDERS_MAX; i++)
-		if (raises->orders[i].state == ORDER_NONE)
-			return &raises->orders[i];
+	for (i = 0; i < PUBLICATIONS_MAX; i++)
+		if (publisher->items[i].state == PUBLICATION_FREE)
+			return &publisher->items[i];
 	return NULL;
 }
 
@@ -242,70 +256,74 @@
 			size_t size, uint64_t number,
 			dy_control_done_cb_t *done, void *context)
 {
-	control_raises_t *raises = control->raises;
-	order_t *order = find_free(raises);
+	control_publisher_t *publisher = control->publisher;
+	publication_t *publication = find_free(publisher);
 
 	if (size > DY_DOCUMENT_BYTES) {
-		done(context, DY_STATUS_MALFORMED, "it is too large");
+		done(context, DY_STATUS_MALFORMED, "the document is too large");
 		return;
 	}
-	if (!order || raises->closed || control->stop_at_ms) {
-		done(context, DY_STATUS_UNAVAILABLE, "too many are waiting");
+	if (!publication || publisher->closed || control->stop_deadline_ms) {
+		done(context, DY_STATUS_UNAVAILABLE,
+		     "no more publications are accepted at the moment");
 		return;
 	}
-	order->state = ORDER_WAITING;
-	order->arrived = ++raises->arrivals;
-	order->number = number;
-	order->bytes = g_memdup2(bytes, size);
-	order->size = (uint32_t)size;
-	order->done = done;
-	order->context = context;
-	begin(raises);
+	publication->state = PUBLICATION_WAITING;
+	publication->sequence = ++publisher->last_sequence;
+	publication->number = number;
+	publication->bytes = g_memdup2(bytes, size);
+	publication->size = (uint32_t)size;
+	publication->done = done;
+	publication->context = context;
+	start_next(publisher);
 }
 
-typedef struct load {
+typedef struct document_read {
 	dy_control_t *control;
 	dy_control_document_cb_t *done;
 	void *context;
-} load_t;
+} document_read_t;
 
-static void on_load_confirmed(void *context, dy_raft_result_t result,
+static void on_read_confirmed(void *context, dy_raft_result_t result,
 			      uint64_t index)
 {
-	load_t *load = context;
-	dy_status_t status = control_status_of(load->control, result);
-	const dy_registry_document_t *held;
+	document_read_t *pending = context;
+	dy_status_t status =
+		control_status_from_result(pending->control, result);
+	const dy_registry_document_t *current;
 	const uint8_t *bytes = NULL;
 	uint32_t size = 0;
 
 	(void)index;
 	if (status == DY_STATUS_OK) {
-		held = dy_registry_document(load->control->registry, DY_TRIAL);
-		bytes = dy_registry_find_content(load->control->registry,
-						 held->digest, &size);
-		if (!held->number || !bytes)
+		current = dy_registry_document(pending->control->registry,
+					       DY_TRIAL);
+		bytes = dy_registry_find_content(pending->control->registry,
+						 current->digest, &size);
+		if (!current->number || !bytes)
 			status = DY_STATUS_NOT_FOUND;
 	}
-	load->done(load->context, status, status == DY_STATUS_OK ? bytes : NULL,
-		   size);
-	g_free(load);
+	pending->done(pending->context, status,
+		      status == DY_STATUS_OK ? bytes : NULL, size);
+	g_free(pending);
 }
 
 void dy_control_read_document(dy_control_t *control,
 			      dy_control_document_cb_t *done, void *context)
 {
 	dy_raft_result_t result = control_admit(control);
-	load_t *load;
+	document_read_t *pending;
 
 	if (result == DY_RAFT_DONE) {
-		load = g_new0(load_t, 1);
-		load->control = control;
-		load->done = done;
-		load->context = context;
-		result = dy_raft_read(control->raft, on_load_confirmed, load);
+		pending = g_new0(document_read_t, 1);
+		pending->control = control;
+		pending->done = done;
+		pending->context = context;
+		result =
+			dy_raft_read(control->raft, on_read_confirmed, pending);
 		if (result == DY_RAFT_DONE)
 			return;
-		g_free(load);
+		g_free(pending);
 	}
-	done(context, control_status_of(control, result), NULL, 0);
+	done(context, control_status_from_result(control, result), NULL, 0);
 }
--- a/src/process/control/control_review.c
+++ b/src/process/control/control_review.c
@@ -1,5 +1,6 @@
 /*
- * What the leader does by time: leases, keys, what was tried, the stop.
+ * Periodic tasks of the leader: leases, keys, the record of tried documents,
+ * and the planned stop.
  */
 
 #include <string.h>
@@ -7,7 +8,8 @@
 #include "control_private.h"
 #include "damaskyard/document.h"
 
-static void on_done(void *context, dy_raft_result_t result, uint64_t index)
+static void ignore_result(void *context, dy_raft_result_t result,
+			  uint64_t index)
 {
 	(void)context;
 	(void)result;
@@ -39,11 +41,11 @@
 }
 
 /*
- * Guards against a session that pauses for as long as its document allows
- * and then names a member that is forgotten, or a key that is retired: both
- * outlive the longest pause, whatever the settings say.
+ * Guards against a session that is idle for as long as its document allows and
+ * then refers to a member whose record was deleted or to a retired key: both
+ * are kept for the longest idle time, whatever the settings are.
  */
-static void review_idle(dy_control_t *control)
+static void update_retention(dy_control_t *control)
 {
 	uint64_t longest_ms = 0;
 	uint64_t numbers = 0;
@@ -51,9 +53,9 @@
 
 	for (i = 0; i < DY_ENVIRONMENTS; i++)
 		numbers += dy_registry_document(control->registry, i)->number;
-	if (numbers == control->idle_numbers)
+	if (numbers == control->reviewed_document_numbers)
 		return;
-	control->idle_numbers = numbers;
+	control->reviewed_document_numbers = numbers;
 	for (i = 0; i < DY_ENVIRONMENTS; i++)
 		longest_ms = MAX(longest_ms, longest_idle_ms(control, i));
 	longest_ms += DY_RETRANSMIT_MS;
@@ -70,11 +72,11 @@
 	int i;
 
 	control->leases.lease_ms = control_lease_ms(control);
-	for (i = 0; i < MARKS_MAX; i++) {
+	for (i = 0; i < MARKS_PER_REVIEW_MAX; i++) {
 		if (!dy_registry_next_mark(control->registry, &control->leases,
 					   mark))
 			return;
-		if (control_propose(control, &command, on_done, NULL) ==
+		if (control_propose(control, &command, ignore_result, NULL) ==
 		    DY_RAFT_DONE)
 			continue;
 		dy_registry_retry_mark(control->registry, mark);
@@ -82,13 +84,14 @@
 	}
 }
 
-static void on_key_step(void *context, dy_raft_result_t result, uint64_t index)
+static void on_key_step_committed(void *context, dy_raft_result_t result,
+				  uint64_t index)
 {
 	dy_control_t *control = context;
 
 	(void)result;
 	(void)index;
-	control->key_proposed = 0;
+	control->key_step_pending = 0;
 }
 
 static void review_keys(dy_control_t *control)
@@ -96,30 +99,31 @@
 	dy_command_t command = { .kind = DY_COMMAND_KEY };
 	dy_key_step_t *step = &command.dy_command_t_u.key;
 
-	if (control->key_proposed ||
+	if (control->key_step_pending ||
 	    !dy_registry_next_key_step(control->registry, &control->keys, step))
 		return;
 	if (step->step == DY_KEY_ADD)
 		dy_random_fill(step->salt, sizeof(step->salt));
-	if (control_propose(control, &command, on_key_step, control) ==
-	    DY_RAFT_DONE)
-		control->key_proposed = 1;
+	if (control_propose(control, &command, on_key_step_committed,
+			    control) == DY_RAFT_DONE)
+		control->key_step_pending = 1;
 }
 
-static void on_tried(void *context, dy_raft_result_t result, uint64_t index)
+static void on_tried_committed(void *context, dy_raft_result_t result,
+			       uint64_t index)
 {
 	dy_control_t *control = context;
 
 	(void)result;
 	(void)index;
-	control->tried_proposed = 0;
+	control->tried_pending = 0;
 }
 
 /*
- * Without any live member trial proves nothing, but an operator who promotes
- * then, as on the first day, is not held up; it is logged.
+ * Without a live member, `trial` proves nothing. An operator who promotes a
+ * document then, as on the first day, is not blocked; the promotion is logged.
  */
-void control_try_document(dy_control_t *control, int promoting)
+void control_propose_tried(dy_control_t *control, int promoting)
 {
 	const dy_registry_document_t *trial =
 		dy_registry_document(control->registry, DY_TRIAL);
@@ -127,7 +131,7 @@
 	unsigned in_force;
 	unsigned live;
 
-	if (!trial->number || control->tried_proposed ||
+	if (!trial->number || control->tried_pending ||
 	    dy_registry_is_tried(control->registry, trial->digest))
 		return;
 	dy_registry_count_in_force(control->registry, DY_TRIAL, &live,
@@ -135,15 +139,15 @@
 	if (in_force < live || (!live && !promoting))
 		return;
 	if (!live) {
-		++*control->counters.untried;
+		++*control->counters.promoted_untried;
 		dy_log_event(DY_LOG_WARN, "promoted_untried", "number=%lu",
 			     (unsigned long)trial->number);
 	}
 	memcpy(command.dy_command_t_u.tried.digest, trial->digest,
 	       DY_DIGEST_BYTES);
-	if (control_propose(control, &command, on_tried, control) ==
+	if (control_propose(control, &command, on_tried_committed, control) ==
 	    DY_RAFT_DONE)
-		control->tried_proposed = 1;
+		control->tried_pending = 1;
 }
 
 static void on_transferred(void *context, dy_raft_result_t result,
@@ -158,8 +162,8 @@
 }
 
 /*
- * A planned stop hands the lead over first, so that the group needs no
- * election, and ends when nobody waits for an answer.
+ * A planned stop transfers the leadership first, so that the group needs no
+ * election, and ends when no request is pending.
  */
 static void review_stop(dy_control_t *control)
 {
@@ -170,7 +174,7 @@
 	    dy_raft_transfer(control->raft, on_transferred, control) ==
 		    DY_RAFT_DONE)
 		control->transferring = 1;
-	if (control_now_ms(control) < control->stop_at_ms &&
+	if (control_now_ms(control) < control->stop_deadline_ms &&
 	    (control->request_count ||
 	     (leads && control_count_voters(control) > 1)))
 		return;
@@ -180,21 +184,21 @@
 }
 
 /*
- * Guards against leases that run out because nobody could be answered: a
- * leader that was stopped, or without a majority, heard no one, and would
- * mark every member at once. All begin anew when it can answer again.
+ * Guards against leases that expire because the leader could not answer: a
+ * leader that was suspended, or that had no majority, received no polls and
+ * would mark every member at once. All leases restart when it can answer again.
  */
 static int cannot_answer(const dy_control_t *control)
 {
 	return !dy_raft_has_quorum(control->raft) ||
-	       control_now_ms(control) - control->reviewed_ms >
+	       control_now_ms(control) - control->last_review_ms >
 		       control->leases.lease_ms / 3;
 }
 
 static void review_serving(dy_control_t *control)
 {
-	if (!control->served) {
-		control->served = 1;
+	if (!control->has_served) {
+		control->has_served = 1;
 		dy_log_event(DY_LOG_INFO, "control_serves", "voters=%u",
 			     control_count_voters(control));
 	}
@@ -202,10 +206,10 @@
 		dy_registry_restart_leases(control->registry);
 		return;
 	}
-	review_idle(control);
+	update_retention(control);
 	review_leases(control);
 	review_keys(control);
-	control_try_document(control, 0);
+	control_propose_tried(control, 0);
 }
 
 void control_review(dy_control_t *control)
@@ -214,7 +218,7 @@
 		uploads_expire(control->uploads, control_now_ms(control));
 
 	*control->counters.uploads_dropped += dropped;
-	if (control->stop_at_ms) {
+	if (control->stop_deadline_ms) {
 		review_stop(control);
 		return;
 	}
--- a/src/process/control/control_services.c
+++ b/src/process/control/control_services.c
@@ -1,14 +1,16 @@
 /*
- * What status says of each service in force: how many agents that serve could
- * take its flows. A document may name a service before its targets have
- * announced themselves, so it is accepted without any; here it shows.
+ * Status lines of the services in force, each with the number of serving agents
+ * that can accept its flows. A document may define a service before its targets
+ * have announced themselves and is accepted without any; the number shows that.
  */
 
 #include <string.h>
 
 #include "control_private.h"
 
-/* The document in force in an environment, parsed once for all inspects. */
+/*
+ * The document in force in each environment, parsed once for all inspect calls.
+ */
 struct control_services {
 	uint8_t digests[DY_ENVIRONMENTS][DY_DIGEST_BYTES];
 	dy_document_t *documents[DY_ENVIRONMENTS];
@@ -55,12 +57,12 @@
 	return services->documents[environment];
 }
 
-/* Targets of each service, counted in one walk over the members. */
+/* Targets of each service, counted in one pass over the members. */
 typedef struct tally {
 	const dy_registry_t *registry;
 	dy_environment_t environment;
-	GHashTable *by_targets; /* announced name: GPtrArray of services */
-	GHashTable *counts;	/* service: number of targets */
+	GHashTable *by_targets; /* GPtrArray of services by announced name */
+	GHashTable *counts;	/* number of targets by service */
 } tally_t;
 
 static void count_member(void *context, const dy_registry_member_t *member)
