--- a/tests/fake_control.c
+++ b/tests/fake_control.c
@@ -9,7 +9,7 @@
 
 #define TICK_MS 5
 
-/* Leases and keys that do not matter in a test of some seconds. */
+/* Leases and key intervals that do not expire in a test of some seconds. */
 #define LONG_MS 60000
 
 static void on_tick(void *context)
@@ -21,11 +21,12 @@
 		dy_loop_end(fake->loop);
 }
 
-void fake_control_run(fake_control_t *fake, unsigned ticks, const int *until)
+void fake_control_run(fake_control_t *fake, unsigned max_ticks,
+		      const int *stop_flag)
 {
 	fake->ticks = 0;
-	fake->max_ticks = ticks;
-	fake->stop_flag = until;
+	fake->max_ticks = max_ticks;
+	fake->stop_flag = stop_flag;
 	dy_loop_run(fake->loop);
 }
 
--- a/tests/fake_control.h
+++ b/tests/fake_control.h
@@ -2,8 +2,8 @@
 #define TESTS_FAKE_CONTROL_H
 
 /*
- * One control of an open group, with its loop, on loopback and in a folder of
- * its own.
+ * One control of a group with dynamic membership, with its loop, on the
+ * loopback address and with a folder of its own.
  */
 
 #include "damaskyard/control.h"
@@ -13,27 +13,36 @@
 	dy_metrics_t *metrics;
 	dy_loop_t *loop;
 	dy_control_t *control;
-	dy_control_options_t options; /* of a group of its own alone */
+	dy_control_options_t options; /* a group of this control alone */
 	unsigned ticks;
 	unsigned max_ticks;
 	const int *stop_flag;
 } fake_control_t;
 
-/* Prepare all but the control; options may be changed before the start. */
+/*
+ * Prepares everything but the control; options may be changed before
+ * fake_control_start().
+ */
 void fake_control_init(fake_control_t *fake);
+/* Creates the control; creates a new loop after fake_control_stop(). */
 void fake_control_start(fake_control_t *fake);
 
-/* End the control and its loop; the folder stays for another start. */
+/* Destroys the control and its loop; the folder stays for another start. */
 void fake_control_stop(fake_control_t *fake);
-/* After the stop. */
+/* Removes the folder; call it after fake_control_stop(). */
 void fake_control_clear(fake_control_t *fake);
 
-/* Run the loop for a number of ticks of 5 ms, or until *until, if not NULL. */
-void fake_control_run(fake_control_t *fake, unsigned ticks, const int *until);
+/*
+ * Runs the loop for a number of ticks of 5 ms, or until *stop_flag is set;
+ * stop_flag may be NULL.
+ */
+void fake_control_run(fake_control_t *fake, unsigned max_ticks,
+		      const int *stop_flag);
 
-/* A loopback address that nobody is bound to. */
+/* Returns a loopback address with an unused port. */
 dy_address_t fake_control_unused_address(fake_control_t *fake);
 
+/* Deletes the folder with its files and frees its name. */
 void fake_control_remove_folder(char *folder);
 
 #endif
--- a/tests/fake_site.c
+++ b/tests/fake_site.c
@@ -6,22 +6,24 @@
 #include "damaskyard/poll_pace.h"
 #include "damaskyard/poll_queue.h"
 
-#define BALANCERS_IN_TEN 3
-#define PAGE_MEMBERS 64
+#define BALANCERS_PER_TEN 3
+#define MEMBERS_PER_PAGE 64
 #define PAGE_BYTES 4096
 
-/* A datagram's way, in ms, and how far ahead one may be due. */
-#define WAY_MS 2
-#define SLOTS 64
+/*
+ * Network latency in ms, and the size of the delivery wheel in slots of 1 ms.
+ */
+#define LATENCY_MS 2
+#define WHEEL_SLOTS 64
 
-/* Polls begun in one turn of a control's loop, in us. */
-#define TURN_US 10000
+/* Time budget for queued polls in one loop iteration of a control, in us. */
+#define ITERATION_BUDGET_US 10000
 
 typedef enum kind {
-	KIND_POLL,   /* member to control */
-	KIND_PAGE,   /* the same: a page of the image */
-	KIND_ANSWER, /* control to member */
-	KIND_GIVEN,  /* the same: a page of the image */
+	KIND_POLL,	 /* member to control */
+	KIND_PAGE,	 /* member to control: request for an image page */
+	KIND_ANSWER,	 /* control to member */
+	KIND_PAGE_REPLY, /* control to member: an image page */
 	KIND_INVITE
 } kind_t;
 
@@ -30,8 +32,8 @@
 	unsigned member;
 	unsigned control;
 	uint32_t xid;
-	int status; /* of an answer: 0 served, else turned away */
-	int leader; /* named by it; -1: none */
+	int status; /* of an answer: 0 served, else rejected */
+	int leader; /* leader named by the answer; -1: none */
 	uint64_t poll_ms;
 } datagram_t;
 
@@ -40,9 +42,9 @@
 	uint32_t xid;
 	unsigned control;
 	unsigned image_control;
-	int named;
-	int followed;
-	unsigned pages_left; /* of the image, or of the leader's pages */
+	int leader_named;
+	int followed_redirect;
+	unsigned pages_left; /* of the image, or of the leader's answers */
 	int image_begun;
 	uint64_t page_sent_ms;
 	int confirmed;
@@ -51,14 +53,14 @@
 } member_t;
 
 typedef struct control {
-	fake_site_t *herd;
+	fake_site_t *site;
 	unsigned slot;
-	GQueue inbox; /* datagram_t */
+	GQueue inbox; /* queue of datagram_t */
 	dy_poll_queue_t *queue;
 	dy_invitations_t *invitations;
-	uint64_t busy_us; /* works until then */
-	int led;
-	unsigned asked; /* in this second */
+	uint64_t busy_until_us;
+	int is_leading;
+	unsigned requests; /* in the current second */
 } control_t;
 
 struct fake_site {
@@ -66,15 +68,15 @@
 	fake_group_t *group;
 	uint64_t started_ms;
 	member_t *members;
-	uint8_t *joined; /* in this start, as the log says */
+	uint8_t *joined; /* since this start, by the log */
 	control_t controls[FAKE_GROUP_MAX];
-	GQueue due[SLOTS];
+	GQueue due[WHEEL_SLOTS];
 	unsigned balancers;
 	fake_site_result_t result;
 	uint64_t first_won;
 	uint64_t elections_before;
-	uint64_t lost_before;
-	uint64_t second; /* the last one that was counted */
+	uint64_t quorum_lost_before;
+	uint64_t current_second;
 };
 
 typedef struct request {
@@ -83,19 +85,19 @@
 	uint32_t xid;
 } request_t;
 
-static uint64_t now_ms(const fake_site_t *herd)
+static uint64_t now_ms(const fake_site_t *site)
 {
-	return herd->group->now_ms;
+	return site->group->now_ms;
 }
 
-static unsigned control_count(const fake_site_t *herd)
+static unsigned control_count(const fake_site_t *site)
 {
-	return MAX(herd->options.controls, 1);
+	return MAX(site->options.controls, 1);
 }
 
-static int is_balancer(const fake_site_t *herd, unsigned member)
+static int is_balancer(const fake_site_t *site, unsigned member)
 {
-	return member < herd->balancers;
+	return member < site->balancers;
 }
 
 static dy_address_t address_of(unsigned member)
@@ -113,185 +115,185 @@
 	return (unsigned)ip[13] << 16 | (unsigned)ip[14] << 8 | ip[15];
 }
 
-static void send_later(fake_site_t *herd, const datagram_t *datagram)
+static void send_datagram(fake_site_t *site, const datagram_t *datagram)
 {
-	g_queue_push_tail(&herd->due[(now_ms(herd) + WAY_MS) % SLOTS],
+	g_queue_push_tail(&site->due[(now_ms(site) + LATENCY_MS) % WHEEL_SLOTS],
 			  g_memdup2(datagram, sizeof(*datagram)));
 }
 
 /* Members. */
 
-static unsigned page_count(const fake_site_t *herd)
+static unsigned page_count(const fake_site_t *site)
 {
-	unsigned agents = herd->options.members - herd->balancers;
+	unsigned agents = site->options.members - site->balancers;
 
-	if (herd->options.no_images)
-		return (agents + PAGE_MEMBERS - 1) / PAGE_MEMBERS;
-	/* The question for the image is as dear as a page. */
-	return 2 + agents * herd->options.image_bytes / PAGE_BYTES;
+	if (site->options.no_images)
+		return (agents + MEMBERS_PER_PAGE - 1) / MEMBERS_PER_PAGE;
+	/* The request for the image costs as much as a page. */
+	return 2 + agents * site->options.image_bytes / PAGE_BYTES;
 }
 
-static void start_member(fake_site_t *herd, unsigned index)
+static void start_member(fake_site_t *site, unsigned index)
 {
-	member_t *member = &herd->members[index];
-	uint32_t seed = g_rand_int(herd->group->rand);
+	member_t *member = &site->members[index];
+	uint32_t seed = g_rand_int(site->group->rand);
 
 	dy_poll_pace_clear(&member->pace);
 	memset(member, 0, sizeof(*member));
 	dy_poll_pace_init(&member->pace, seed);
-	member->control = seed % control_count(herd);
-	member->image_control = seed / 7 % control_count(herd);
+	member->control = seed % control_count(site);
+	member->image_control = seed / 7 % control_count(site);
 	member->xid = seed;
-	member->pages_left = is_balancer(herd, index) ? page_count(herd) : 0;
-	herd->joined[index] = 0;
+	member->pages_left = is_balancer(site, index) ? page_count(site) : 0;
+	site->joined[index] = 0;
 }
 
-static void send_question(fake_site_t *herd, unsigned index, kind_t kind,
-			  unsigned control)
+static void send_request(fake_site_t *site, unsigned index, kind_t kind,
+			 unsigned control)
 {
-	datagram_t datagram = { kind, index, control, herd->members[index].xid,
+	datagram_t datagram = { kind, index, control, site->members[index].xid,
 				0,    -1,    0 };
 
-	send_later(herd, &datagram);
+	send_datagram(site, &datagram);
 }
 
-static void poll_if_due(fake_site_t *herd, unsigned index)
+static void poll_if_due(fake_site_t *site, unsigned index)
 {
-	member_t *member = &herd->members[index];
-	uint64_t now = now_ms(herd);
+	member_t *member = &site->members[index];
+	uint64_t now = now_ms(site);
 	dy_poll_step_t step = dy_poll_pace_next(&member->pace, now);
 
-	if (herd->options.fixed_retry && step == DY_POLL_WAIT &&
+	if (site->options.fixed_retry && step == DY_POLL_WAIT &&
 	    member->pace.under_way && !member->confirmed &&
 	    now - member->pace.sent_ms >= DY_POLL_FIRST_TIMEOUT_MS)
 		step = DY_POLL_SEND_NEW;
 	if (step == DY_POLL_WAIT)
 		return;
-	if (member->pace.under_way && !member->named)
-		member->control = (member->control + 1) % control_count(herd);
-	if (step == DY_POLL_SEND_NEW || herd->options.fixed_retry)
+	if (member->pace.under_way && !member->leader_named)
+		member->control = (member->control + 1) % control_count(site);
+	if (step == DY_POLL_SEND_NEW || site->options.fixed_retry)
 		member->xid++;
-	member->named = 0;
+	member->leader_named = 0;
 	dy_poll_pace_sent(&member->pace, step, now);
-	send_question(herd, index, KIND_POLL, member->control);
+	send_request(site, index, KIND_POLL, member->control);
 }
 
-static void ask_page(fake_site_t *herd, unsigned index)
+static void request_page(fake_site_t *site, unsigned index)
 {
-	herd->members[index].page_sent_ms = now_ms(herd);
-	send_question(herd, index, KIND_PAGE,
-		      herd->members[index].image_control);
+	site->members[index].page_sent_ms = now_ms(site);
+	send_request(site, index, KIND_PAGE,
+		     site->members[index].image_control);
 }
 
-static void begin_image(fake_site_t *herd, unsigned index)
+static void start_image(fake_site_t *site, unsigned index)
 {
-	member_t *member = &herd->members[index];
+	member_t *member = &site->members[index];
 
 	if (!member->pages_left || member->image_begun ||
-	    herd->options.no_images)
+	    site->options.no_images)
 		return;
 	member->image_begun = 1;
-	ask_page(herd, index);
+	request_page(site, index);
 }
 
-static void note_served(fake_site_t *herd, unsigned index)
+static void record_served(fake_site_t *site, unsigned index)
 {
-	uint64_t since = now_ms(herd) - herd->started_ms;
-	fake_site_result_t *result = &herd->result;
+	uint64_t since = now_ms(site) - site->started_ms;
+	fake_site_result_t *result = &site->result;
 
-	if (herd->members[index].served)
+	if (site->members[index].served)
 		return;
-	herd->members[index].served = 1;
-	if (++result->served == herd->options.members)
+	site->members[index].served = 1;
+	if (++result->served == site->options.members)
 		result->members_100pct_ms = since;
-	if (!is_balancer(herd, index))
+	if (!is_balancer(site, index))
 		return;
 	result->balancers_served++;
-	if (result->balancers_served == (herd->balancers + 1) / 2)
+	if (result->balancers_served == (site->balancers + 1) / 2)
 		result->balancers_50pct_ms = since;
-	if (result->balancers_served == (herd->balancers * 9 + 9) / 10)
+	if (result->balancers_served == (site->balancers * 9 + 9) / 10)
 		result->balancers_90pct_ms = since;
 }
 
-static void take_served(fake_site_t *herd, unsigned index, uint64_t poll_ms)
+static void handle_served(fake_site_t *site, unsigned index, uint64_t poll_ms)
 {
-	member_t *member = &herd->members[index];
+	member_t *member = &site->members[index];
 
-	member->followed = 0;
+	member->followed_redirect = 0;
 	member->confirmed = 1;
 	dy_poll_pace_answered(&member->pace, poll_ms);
 	if (!member->pages_left) {
-		note_served(herd, index);
+		record_served(site, index);
 		return;
 	}
-	begin_image(herd, index);
-	if (!herd->options.no_images)
+	start_image(site, index);
+	if (!site->options.no_images)
 		return;
 	member->pages_left--;
-	dy_poll_pace_hasten(&member->pace, now_ms(herd));
+	dy_poll_pace_hasten(&member->pace, now_ms(site));
 }
 
-static void take_turned_away(fake_site_t *herd, unsigned index, int leader)
+static void handle_redirect(fake_site_t *site, unsigned index, int leader)
 {
-	member_t *member = &herd->members[index];
+	member_t *member = &site->members[index];
 
-	dy_poll_pace_turned_away(&member->pace, now_ms(herd));
+	dy_poll_pace_turned_away(&member->pace, now_ms(site));
 	if (leader < 0 || (unsigned)leader == member->control) {
-		member->followed = 0;
+		member->followed_redirect = 0;
 		return;
 	}
 	member->control = (unsigned)leader;
-	member->named = 1;
-	begin_image(herd, index);
-	if (!member->followed)
-		dy_poll_pace_hasten(&member->pace, now_ms(herd));
-	member->followed = !member->followed;
+	member->leader_named = 1;
+	start_image(site, index);
+	if (!member->followed_redirect)
+		dy_poll_pace_hasten(&member->pace, now_ms(site));
+	member->followed_redirect = !member->followed_redirect;
 }
 
-static void member_takes(fake_site_t *herd, const datagram_t *datagram)
+static void receive_at_member(fake_site_t *site, const datagram_t *datagram)
 {
-	member_t *member = &herd->members[datagram->member];
+	member_t *member = &site->members[datagram->member];
 
 	if (datagram->kind == KIND_INVITE) {
 		member->control = datagram->control;
-		member->named = 1;
-		begin_image(herd, datagram->member);
-		dy_poll_pace_hasten(&member->pace, now_ms(herd));
-	} else if (datagram->kind == KIND_GIVEN) {
+		member->leader_named = 1;
+		start_image(site, datagram->member);
+		dy_poll_pace_hasten(&member->pace, now_ms(site));
+	} else if (datagram->kind == KIND_PAGE_REPLY) {
 		if (!member->pages_left)
 			return;
 		if (--member->pages_left)
-			ask_page(herd, datagram->member);
+			request_page(site, datagram->member);
 		else
 			dy_poll_pace_renew(&member->pace);
 	} else if (!member->pace.under_way || datagram->xid != member->xid) {
 		return;
 	} else if (datagram->status) {
-		take_turned_away(herd, datagram->member, datagram->leader);
+		handle_redirect(site, datagram->member, datagram->leader);
 	} else {
-		take_served(herd, datagram->member, datagram->poll_ms);
+		handle_served(site, datagram->member, datagram->poll_ms);
 	}
-	poll_if_due(herd, datagram->member);
+	poll_if_due(site, datagram->member);
 }
 
-static void tick_member(fake_site_t *herd, unsigned index)
+static void tick_member(fake_site_t *site, unsigned index)
 {
-	member_t *member = &herd->members[index];
+	member_t *member = &site->members[index];
 
-	poll_if_due(herd, index);
+	poll_if_due(site, index);
 	if (!member->image_begun || !member->pages_left ||
-	    now_ms(herd) - member->page_sent_ms < 150)
+	    now_ms(site) - member->page_sent_ms < 150)
 		return;
 	member->image_control =
-		(member->image_control + 1) % control_count(herd);
-	ask_page(herd, index);
+		(member->image_control + 1) % control_count(site);
+	request_page(site, index);
 }
 
 /* Controls. */
 
 static dy_raft_t *raft_of(const control_t *control)
 {
-	return control->herd->group->members[control->slot].raft;
+	return control->site->group->members[control->slot].raft;
 }
 
 static int leader_known(const control_t *control)
@@ -312,31 +314,31 @@
 			      leader_known(control),
 			      dy_poll_queue_interval_ms(
 				      control->queue,
-				      control->herd->options.members,
-				      now_ms(control->herd)) };
+				      control->site->options.members,
+				      now_ms(control->site)) };
 
-	send_later(control->herd, &answer);
+	send_datagram(control->site, &answer);
 }
 
-static void work(control_t *control, unsigned us)
+static void consume_cpu(control_t *control, unsigned us)
 {
-	uint64_t now_us = now_ms(control->herd) * 1000;
+	uint64_t now_us = now_ms(control->site) * 1000;
 
-	control->busy_us = MAX(control->busy_us, now_us) + us;
+	control->busy_until_us = MAX(control->busy_until_us, now_us) + us;
 }
 
-static void invite_some(control_t *control)
+static void send_invitations(control_t *control)
 {
 	datagram_t invitation = { KIND_INVITE, 0, control->slot, 0, 0, -1, 0 };
 	uint64_t member;
 
-	if (!control->led || control->herd->options.no_invitations)
+	if (!control->is_leading || control->site->options.no_invitations)
 		return;
-	while (dy_invitations_next(control->invitations, now_ms(control->herd),
+	while (dy_invitations_next(control->invitations, now_ms(control->site),
 				   &member)) {
 		invitation.member = (unsigned)member;
-		work(control, control->herd->options.datagram_us);
-		send_later(control->herd, &invitation);
+		consume_cpu(control, control->site->options.datagram_us);
+		send_datagram(control->site, &invitation);
 	}
 }
 
@@ -349,7 +351,7 @@
 	dy_poll_queue_complete(control->queue, &from, request->xid);
 	if (!status) {
 		dy_invitations_remove(control->invitations, request->member);
-		invite_some(control);
+		send_invitations(control);
 	}
 	g_free(request);
 }
@@ -360,284 +362,288 @@
 	end_request(context, result != DY_RAFT_DONE);
 }
 
-static void on_joined(void *context, dy_raft_result_t result, uint64_t index)
+static void on_join_committed(void *context, dy_raft_result_t result,
+			      uint64_t index)
 {
 	request_t *request = context;
 
 	(void)index;
 	if (result == DY_RAFT_DONE)
-		request->control->herd->joined[request->member] = 1;
+		request->control->site->joined[request->member] = 1;
 	end_request(request, result != DY_RAFT_DONE);
 }
 
-/* A member that has not joined costs an entry of the log, another a read. */
-static void begin_poll(control_t *control, unsigned member, uint32_t xid)
+/* A member that has not joined costs a log entry, any other member a read. */
+static void start_poll(control_t *control, unsigned member, uint32_t xid)
 {
-	fake_site_t *herd = control->herd;
+	fake_site_t *site = control->site;
 	request_t *request = g_new0(request_t, 1);
 	uint64_t entry[16] = { 0 };
 	dy_raft_result_t result;
 
-	work(control, herd->options.poll_us);
+	consume_cpu(control, site->options.poll_us);
 	request->control = control;
 	request->member = member;
 	request->xid = xid;
-	if (herd->joined[member]) {
+	if (site->joined[member]) {
 		result = dy_raft_read(raft_of(control), on_read, request);
 	} else {
-		entry[0] = ++herd->group->next_command;
+		entry[0] = ++site->group->next_command;
 		result = dy_raft_propose(raft_of(control), entry, sizeof(entry),
-					 on_joined, request);
+					 on_join_committed, request);
 	}
 	if (result != DY_RAFT_DONE)
 		end_request(request, 1);
 }
 
-static void take_datagram(control_t *control, const datagram_t *datagram)
+static void receive_at_control(control_t *control, const datagram_t *datagram)
 {
-	fake_site_t *herd = control->herd;
+	fake_site_t *site = control->site;
 	dy_address_t from = address_of(datagram->member);
 	datagram_t page = *datagram;
 
-	control->asked++;
+	control->requests++;
 	if (datagram->kind == KIND_PAGE) {
-		work(control, herd->options.page_us);
-		page.kind = KIND_GIVEN;
+		consume_cpu(control, site->options.page_us);
+		page.kind = KIND_PAGE_REPLY;
 		if (dy_raft_is_current(raft_of(control)))
-			send_later(herd, &page);
-	} else if (herd->options.no_queue) {
-		begin_poll(control, datagram->member, datagram->xid);
+			send_datagram(site, &page);
+	} else if (site->options.no_queue) {
+		start_poll(control, datagram->member, datagram->xid);
 	} else {
-		work(control, herd->options.datagram_us);
+		consume_cpu(control, site->options.datagram_us);
 		dy_poll_queue_enqueue(control->queue, &from, datagram->xid,
-				      is_balancer(herd, datagram->member),
-				      (const uint8_t *)"", 1, now_ms(herd));
+				      is_balancer(site, datagram->member),
+				      (const uint8_t *)"", 1, now_ms(site));
 	}
 }
 
-static void begin_some(control_t *control)
+static void process_queue(control_t *control)
 {
-	uint64_t end_us = control->busy_us + TURN_US;
+	uint64_t end_us = control->busy_until_us + ITERATION_BUDGET_US;
 	dy_queued_poll_t poll;
 
-	while (control->busy_us < end_us &&
-	       dy_poll_queue_dequeue(control->queue, now_ms(control->herd),
+	while (control->busy_until_us < end_us &&
+	       dy_poll_queue_dequeue(control->queue, now_ms(control->site),
 				     &poll)) {
 		g_free(poll.bytes);
-		begin_poll(control, member_at(&poll.from), poll.xid);
+		start_poll(control, member_at(&poll.from), poll.xid);
 	}
 }
 
-static void check_lead(control_t *control)
+static void update_leadership(control_t *control)
 {
 	int leads = dy_raft_role(raft_of(control)) == DY_RAFT_LEADER &&
 		    dy_raft_is_current(raft_of(control));
 	unsigned i;
 
-	if (leads == control->led)
+	if (leads == control->is_leading)
 		return;
-	control->led = leads;
+	control->is_leading = leads;
 	dy_invitations_clear(control->invitations);
 	if (!leads)
 		return;
-	for (i = 0; i < control->herd->options.members; i++)
+	for (i = 0; i < control->site->options.members; i++)
 		dy_invitations_add(control->invitations, i,
-				   is_balancer(control->herd, i));
+				   is_balancer(control->site, i));
 }
 
-/* One turn of a control's loop: its socket, then as much as a turn allows. */
+/*
+ * One loop iteration of a control: drains its socket, then processes queued
+ * polls within the time budget.
+ */
 static void run_control(control_t *control)
 {
-	fake_member_t *member = &control->herd->group->members[control->slot];
-	uint64_t now_us = now_ms(control->herd) * 1000;
+	fake_member_t *member = &control->site->group->members[control->slot];
+	uint64_t now_us = now_ms(control->site) * 1000;
 	datagram_t *datagram;
 
-	member->frozen = control->busy_us > now_us;
+	member->frozen = control->busy_until_us > now_us;
 	if (member->frozen || !member->raft)
 		return;
-	control->busy_us = now_us;
-	check_lead(control);
-	invite_some(control);
+	control->busy_until_us = now_us;
+	update_leadership(control);
+	send_invitations(control);
 	while ((datagram = g_queue_pop_head(&control->inbox))) {
-		take_datagram(control, datagram);
+		receive_at_control(control, datagram);
 		g_free(datagram);
 	}
-	begin_some(control);
+	process_queue(control);
 }
 
-/* The run. */
+/* The simulation. */
 
-static void note_second(fake_site_t *herd)
+static void count_second(fake_site_t *site)
 {
-	uint64_t second = (now_ms(herd) - herd->started_ms) / 1000;
+	uint64_t second = (now_ms(site) - site->started_ms) / 1000;
 	unsigned i;
 
-	if (second == herd->second)
+	if (second == site->current_second)
 		return;
-	for (i = 0; i < herd->options.controls; i++) {
-		if (herd->second)
-			herd->result.max_requests_per_s =
-				MAX(herd->result.max_requests_per_s,
-				    herd->controls[i].asked);
-		herd->controls[i].asked = 0;
+	for (i = 0; i < site->options.controls; i++) {
+		if (site->current_second)
+			site->result.max_requests_per_s =
+				MAX(site->result.max_requests_per_s,
+				    site->controls[i].requests);
+		site->controls[i].requests = 0;
 	}
-	herd->second = second;
+	site->current_second = second;
 }
 
-static void deliver_due(fake_site_t *herd)
+static void deliver_due(fake_site_t *site)
 {
-	GQueue *due = &herd->due[now_ms(herd) % SLOTS];
+	GQueue *due = &site->due[now_ms(site) % WHEEL_SLOTS];
 	datagram_t *datagram;
 
 	while ((datagram = g_queue_pop_head(due))) {
 		if (datagram->kind <= KIND_PAGE) {
 			g_queue_push_tail(
-				&herd->controls[datagram->control].inbox,
+				&site->controls[datagram->control].inbox,
 				datagram);
 			continue;
 		}
-		member_takes(herd, datagram);
+		receive_at_member(site, datagram);
 		g_free(datagram);
 	}
 }
 
-static void step(fake_site_t *herd)
+static void step(fake_site_t *site)
 {
 	unsigned i;
 
-	fake_group_step(herd->group, 1);
-	note_second(herd);
-	deliver_due(herd);
-	for (i = 0; i < herd->options.controls; i++)
-		run_control(&herd->controls[i]);
-	for (i = 0; i < herd->options.members; i++)
-		tick_member(herd, i);
-	if (!herd->result.leader_ms && fake_group_leader(herd->group)) {
-		herd->result.leader_ms = now_ms(herd) - herd->started_ms;
-		herd->elections_before =
-			fake_group_counter(herd->group, "raft_elections");
-		herd->lost_before =
-			fake_group_counter(herd->group, "raft_quorum_lost");
+	fake_group_step(site->group, 1);
+	count_second(site);
+	deliver_due(site);
+	for (i = 0; i < site->options.controls; i++)
+		run_control(&site->controls[i]);
+	for (i = 0; i < site->options.members; i++)
+		tick_member(site, i);
+	if (!site->result.leader_ms && fake_group_leader(site->group)) {
+		site->result.leader_ms = now_ms(site) - site->started_ms;
+		site->elections_before =
+			fake_group_counter(site->group, "raft_elections");
+		site->quorum_lost_before =
+			fake_group_counter(site->group, "raft_quorum_lost");
 	}
 }
 
 fake_site_t *fake_site_create(const fake_site_options_t *options)
 {
-	fake_site_t *herd = g_new0(fake_site_t, 1);
+	fake_site_t *site = g_new0(fake_site_t, 1);
 	control_t *control;
 	unsigned i;
 
-	herd->options = *options;
-	herd->balancers = options->members * BALANCERS_IN_TEN / 10;
-	herd->members = g_new0(member_t, options->members);
-	herd->joined = g_malloc0(options->members);
-	herd->group =
+	site->options = *options;
+	site->balancers = options->members * BALANCERS_PER_TEN / 10;
+	site->members = g_new0(member_t, options->members);
+	site->joined = g_malloc0(options->members);
+	site->group =
 		fake_group_create_formed(options->seed, options->controls);
-	herd->group->first_election_ms = 75;
-	for (i = 0; i < SLOTS; i++)
-		g_queue_init(&herd->due[i]);
+	site->group->first_election_ms = 75;
+	for (i = 0; i < WHEEL_SLOTS; i++)
+		g_queue_init(&site->due[i]);
 	for (i = 0; i < options->controls; i++) {
-		control = &herd->controls[i];
-		control->herd = herd;
+		control = &site->controls[i];
+		control->site = site;
 		control->slot = i;
 		g_queue_init(&control->inbox);
 		control->queue = dy_poll_queue_create();
 		control->invitations = dy_invitations_create();
-		fake_group_crash(&herd->group->members[i], 0);
-		fake_group_start(&herd->group->members[i]);
+		fake_group_crash(&site->group->members[i], 0);
+		fake_group_start(&site->group->members[i]);
 	}
-	fake_site_start_measurement(herd);
-	fake_site_restart(herd, 100);
-	return herd;
+	fake_site_start_measurement(site);
+	fake_site_restart(site, 100);
+	return site;
 }
 
-void fake_site_destroy(fake_site_t *herd)
+void fake_site_destroy(fake_site_t *site)
 {
 	unsigned i;
 
 	/* Ends the requests that wait for the log. */
-	fake_group_destroy(herd->group);
-	for (i = 0; i < herd->options.controls; i++) {
-		g_queue_clear_full(&herd->controls[i].inbox, g_free);
-		dy_poll_queue_destroy(herd->controls[i].queue);
-		dy_invitations_destroy(herd->controls[i].invitations);
+	fake_group_destroy(site->group);
+	for (i = 0; i < site->options.controls; i++) {
+		g_queue_clear_full(&site->controls[i].inbox, g_free);
+		dy_poll_queue_destroy(site->controls[i].queue);
+		dy_invitations_destroy(site->controls[i].invitations);
 	}
-	for (i = 0; i < SLOTS; i++)
-		g_queue_clear_full(&herd->due[i], g_free);
-	for (i = 0; i < herd->options.members; i++)
-		dy_poll_pace_clear(&herd->members[i].pace);
-	g_free(herd->members);
-	g_free(herd->joined);
-	g_free(herd);
+	for (i = 0; i < WHEEL_SLOTS; i++)
+		g_queue_clear_full(&site->due[i], g_free);
+	for (i = 0; i < site->options.members; i++)
+		dy_poll_pace_clear(&site->members[i].pace);
+	g_free(site->members);
+	g_free(site->joined);
+	g_free(site);
 }
 
-void fake_site_run(fake_site_t *herd, uint32_t ms)
+void fake_site_run(fake_site_t *site, uint32_t ms)
 {
-	uint64_t end = now_ms(herd) + ms;
+	uint64_t end = now_ms(site) + ms;
 
-	while (now_ms(herd) < end)
-		step(herd);
+	while (now_ms(site) < end)
+		step(site);
 }
 
-static void flood_one(fake_site_t *herd)
+static void send_flood_poll(fake_site_t *site)
 {
-	const fake_member_t *leader = fake_group_leader(herd->group);
+	const fake_member_t *leader = fake_group_leader(site->group);
 	datagram_t poll = { KIND_POLL, 0, 0, 0, 0, -1, 0 };
 
 	if (!leader)
 		return;
 	poll.control = leader->slot;
-	poll.member = g_rand_int(herd->group->rand) % herd->options.members;
-	poll.xid = g_rand_int(herd->group->rand);
-	send_later(herd, &poll);
+	poll.member = g_rand_int(site->group->rand) % site->options.members;
+	poll.xid = g_rand_int(site->group->rand);
+	send_datagram(site, &poll);
 }
 
-void fake_site_flood(fake_site_t *herd, uint32_t ms, unsigned polls_a_second)
+void fake_site_flood(fake_site_t *site, uint32_t ms, unsigned polls_per_second)
 {
-	uint64_t end = now_ms(herd) + ms;
+	uint64_t end = now_ms(site) + ms;
 	uint64_t due = 0;
 
-	while (now_ms(herd) < end) {
-		for (due += polls_a_second; due >= 1000; due -= 1000)
-			flood_one(herd);
-		step(herd);
+	while (now_ms(site) < end) {
+		for (due += polls_per_second; due >= 1000; due -= 1000)
+			send_flood_poll(site);
+		step(site);
 	}
 }
 
-void fake_site_restart(fake_site_t *herd, unsigned percent)
+void fake_site_restart(fake_site_t *site, unsigned percent)
 {
 	unsigned i;
 
-	for (i = 0; i < herd->options.members; i++)
+	for (i = 0; i < site->options.members; i++)
 		if (i % 100 < percent)
-			start_member(herd, i);
+			start_member(site, i);
 }
 
-void fake_site_start_measurement(fake_site_t *herd)
+void fake_site_start_measurement(fake_site_t *site)
 {
 	unsigned i;
 
-	memset(&herd->result, 0, sizeof(herd->result));
-	herd->started_ms = now_ms(herd);
-	herd->second = 0;
-	for (i = 0; i < herd->options.members; i++)
-		herd->members[i].served = 0;
+	memset(&site->result, 0, sizeof(site->result));
+	site->started_ms = now_ms(site);
+	site->current_second = 0;
+	for (i = 0; i < site->options.members; i++)
+		site->members[i].served = 0;
 }
 
-fake_site_result_t fake_site_result(const fake_site_t *herd)
+fake_site_result_t fake_site_result(const fake_site_t *site)
 {
-	fake_site_result_t result = herd->result;
+	fake_site_result_t result = site->result;
 
-	result.balancers = herd->balancers;
-	result.elections = fake_group_counter(herd->group, "raft_elections") -
-			   herd->elections_before;
+	result.balancers = site->balancers;
+	result.elections = fake_group_counter(site->group, "raft_elections") -
+			   site->elections_before;
 	result.quorum_lost =
-		fake_group_counter(herd->group, "raft_quorum_lost") -
-		herd->lost_before;
+		fake_group_counter(site->group, "raft_quorum_lost") -
+		site->quorum_lost_before;
 	return result;
 }
 
-fake_group_t *fake_site_group(fake_site_t *herd)
+fake_group_t *fake_site_group(fake_site_t *site)
 {
-	return herd->group;
+	return site->group;
 }
--- a/tests/fake_site.h
+++ b/tests/fake_site.h
@@ -2,14 +2,15 @@
 #define FAKE_SITE_H
 
 /*
- * All members and a control group, killed at the same moment and started again,
- * in simulated time: the real log (fake_group.h), the real decisions of
- * members and controls (poll_pace.h, poll_queue.h, invitations.h), and a
- * processor for each control that takes a given time for each message. A
- * control does nothing else while it works: its log's messages wait.
+ * Simulates all members and the control group of one site that are killed and
+ * restarted at the same time, in simulated time. It uses the real replicated
+ * log (fake_group.h), the real decisions of members and controls (poll_pace.h,
+ * poll_queue.h, invitations.h), and for each control a processor that takes a
+ * given time per message. A control does nothing else while it works, so its
+ * log messages wait.
  *
- * A member is served once the leader answered a poll of it; a balancer besides
- * needs an image and a second answer that confirms it.
+ * A member counts as served once the leader has answered one of its polls. A
+ * balancer also needs an image and a second answer that confirms it.
  */
 
 #include <stdint.h>
@@ -20,54 +21,68 @@
 	uint32_t seed;
 	unsigned members;  /* three in ten are balancers */
 	unsigned controls; /* at most FAKE_GROUP_MAX */
-	/* Of a control's processor, in us: an answered poll, a page, a look. */
+	/*
+	 * Time of a control's processor, in us: for an answered poll, for a
+	 * page of an image, and for any other datagram.
+	 */
 	unsigned poll_us;
 	unsigned page_us;
 	unsigned datagram_us;
-	unsigned image_bytes; /* of one member in an image */
-	/* Rules of before, to compare with; 0: as the modules say. */
-	int fixed_retry; /* each 100 ms to any control, in new polls */
-	int no_queue;	 /* polls answered as they come, copies too */
+	unsigned image_bytes; /* per member in an image */
+	/*
+	 * Disable a protection for comparison; 0: as implemented by the
+	 * modules.
+	 */
+	int fixed_retry; /* retry every 100 ms at any control, as a new poll */
+	int no_queue;	 /* answer polls in order of arrival, also duplicates */
 	int no_invitations;
-	int no_images; /* no image: the leader tells 64 members a poll */
+	int no_images; /* the leader sends 64 member records per poll answer */
 } fake_site_options_t;
 
 typedef struct fake_site_result {
 	unsigned balancers;
-	unsigned balancers_served; /* by the end */
+	unsigned balancers_served; /* by the end of the run */
 	unsigned served;
-	/* From the start of the controls, in ms; 0: not by the end. */
+	/* Times since the start of the controls, in ms; 0: not reached. */
 	uint64_t leader_ms;
-	uint64_t balancers_50pct_ms; /* of the balancers */
-	uint64_t balancers_90pct_ms; /* nine tenths of them */
-	uint64_t members_100pct_ms;  /* all members */
-	uint64_t elections;	     /* after the first leader */
+	uint64_t balancers_50pct_ms;
+	uint64_t balancers_90pct_ms;
+	uint64_t members_100pct_ms;
+	uint64_t elections; /* after the first leader was elected */
 	uint64_t quorum_lost;
-	/* Most questions that came to one control in a second after the first.
+	/*
+	 * Most requests to one control in one second, without the first second.
 	 */
 	unsigned max_requests_per_s;
 } fake_site_result_t;
 
 typedef struct fake_site fake_site_t;
 
-/* A group that was formed, then killed; members start at 0. */
+/*
+ * Creates a site whose group was formed and then killed. The members start at
+ * time 0. Free it with fake_site_destroy().
+ */
 fake_site_t *fake_site_create(const fake_site_options_t *options);
-void fake_site_destroy(fake_site_t *herd);
+void fake_site_destroy(fake_site_t *site);
 
-/* Let the controls start, if they are not up, and ms pass. */
-void fake_site_run(fake_site_t *herd, uint32_t ms);
+/* Runs the simulation for ms. */
+void fake_site_run(fake_site_t *site, uint32_t ms);
 
-/* The same, with that many polls a second more, of any member, at the leader.
- */
-void fake_site_flood(fake_site_t *herd, uint32_t ms, unsigned polls_a_second);
+/* As fake_site_run(), with additional polls of random members to the leader. */
+void fake_site_flood(fake_site_t *site, uint32_t ms, unsigned polls_per_second);
 
-/* Kill a share of the members, in percent; they start again at once. */
-void fake_site_restart(fake_site_t *herd, unsigned percent);
+/* Restarts a share of the members, in percent. */
+void fake_site_restart(fake_site_t *site, unsigned percent);
 
-/* Nobody is served any more, as after a new start; for one more measure. */
-void fake_site_start_measurement(fake_site_t *herd);
+/*
+ * Resets the result and marks all members as not served, for another
+ * measurement.
+ */
+void fake_site_start_measurement(fake_site_t *site);
 
-fake_site_result_t fake_site_result(const fake_site_t *herd);
-fake_group_t *fake_site_group(fake_site_t *herd);
+/* Returns the result since the last fake_site_start_measurement(). */
+fake_site_result_t fake_site_result(const fake_site_t *site);
+/* Returns the control group; the site keeps the ownership. */
+fake_group_t *fake_site_group(fake_site_t *site);
 
 #endif
--- a/tests/test_control_ledger.c
+++ b/tests/test_control_ledger.c
@@ -9,10 +9,10 @@
 #include "fake_control.h"
 #include "fake_suite.h"
 
-/* Ticks of 5 ms within which anything comes about. */
+/* Limit for every wait, in ticks of 5 ms. */
 #define TICKS_MAX 4000
 
-/* An agent's endpoint beside a control. */
+/* A control and the endpoint of an agent. */
 static struct {
 	fake_control_t fake;
 	dy_seal_t *seal;
@@ -20,7 +20,7 @@
 	int answered;
 	unsigned flows;
 	uint32_t list;
-} world;
+} fixture;
 
 static void on_message(void *context, uint8_t *bytes, size_t len,
 		       const struct sockaddr *from, int truncated)
@@ -31,14 +31,14 @@
 	(void)context;
 	(void)from;
 	ck_assert(!truncated);
-	if (dy_seal_open(world.seal, bytes, len, &message) != DY_SEAL_OK ||
+	if (dy_seal_open(fixture.seal, bytes, len, &message) != DY_SEAL_OK ||
 	    message.program != DY_LEDGER_AGENT_PROGRAM)
 		return;
 	ck_assert(dy_sealed_load(&message, (xdrproc_t)xdr_dy_ledger_part_t,
 				 &part, sizeof(part)));
-	world.answered = 1;
-	world.flows = part.flows.flows_len;
-	world.list = part.list;
+	fixture.answered = 1;
+	fixture.flows = part.flows.flows_len;
+	fixture.list = part.list;
 	xdr_free((xdrproc_t)xdr_dy_ledger_part_t, (char *)&part);
 }
 
@@ -47,52 +47,52 @@
 	dy_address_t any;
 
 	dy_address_parse("127.0.0.1:0", &any);
-	fake_control_start(&world.fake);
-	world.seal =
-		dy_seal_create(&world.fake.options.secrets, world.fake.metrics);
-	world.endpoint = dy_endpoint_create(world.fake.loop, &any, on_message,
-					    NULL, NULL);
-	ck_assert_ptr_nonnull(world.endpoint);
+	fake_control_start(&fixture.fake);
+	fixture.seal = dy_seal_create(&fixture.fake.options.secrets,
+				      fixture.fake.metrics);
+	fixture.endpoint = dy_endpoint_create(fixture.fake.loop, &any,
+					      on_message, NULL, NULL);
+	ck_assert_ptr_nonnull(fixture.endpoint);
 }
 
 static void stop(void)
 {
-	dy_endpoint_destroy(world.endpoint);
-	dy_seal_destroy(world.seal);
-	fake_control_stop(&world.fake);
+	dy_endpoint_destroy(fixture.endpoint);
+	dy_seal_destroy(fixture.seal);
+	fake_control_stop(&fixture.fake);
 }
 
 static void begin(void)
 {
-	memset(&world, 0, sizeof(world));
-	fake_control_init(&world.fake);
+	memset(&fixture, 0, sizeof(fixture));
+	fake_control_init(&fixture.fake);
 	start();
 }
 
 static void end(void)
 {
 	stop();
-	fake_control_clear(&world.fake);
+	fake_control_clear(&fixture.fake);
 }
 
 static void send_message(uint32_t procedure, xdrproc_t proc, void *args)
 {
 	dy_seal_head_t head = { 0, DY_LEDGER_PROGRAM, procedure };
 	uint8_t out[2048];
-	size_t len = dy_seal_write_call(world.seal, &head, proc, args, out,
+	size_t len = dy_seal_write_call(fixture.seal, &head, proc, args, out,
 					sizeof(out));
 
 	ck_assert_uint_gt(len, 0);
-	dy_endpoint_send_to(world.endpoint, out, len,
-			    &world.fake.options.listen);
+	dy_endpoint_send_to(fixture.endpoint, out, len,
+			    &fixture.fake.options.listen);
 }
 
 static char *path_of(const char *name)
 {
-	return g_build_filename(world.fake.folder, name, NULL);
+	return g_build_filename(fixture.fake.folder, name, NULL);
 }
 
-/* The sequence that a file begins with; 0 if it is not there. */
+/* Returns the sequence number at the start of a file; 0 if there is no file. */
 static uint64_t sequence_of(const char *name)
 {
 	char *path = path_of(name);
@@ -108,7 +108,7 @@
 	return sequence;
 }
 
-/* Keep a list of so many flows, until the control has written it. */
+/* Sends a list of count flows and waits until the control has written it. */
 static void keep(uint32_t list, unsigned count)
 {
 	uint64_t before = MAX(sequence_of("flows-0"), sequence_of("flows-1"));
@@ -122,7 +122,7 @@
 	part.flows.flows_len = count;
 	send_message(DY_LEDGER_KEEP, (xdrproc_t)xdr_dy_ledger_part_t, &part);
 	for (i = 0; i < TICKS_MAX; i++) {
-		fake_control_run(&world.fake, 1, NULL);
+		fake_control_run(&fixture.fake, 1, NULL);
 		if (MAX(sequence_of("flows-0"), sequence_of("flows-1")) >
 		    before)
 			return;
@@ -130,40 +130,43 @@
 	ck_abort_msg("the list was not written");
 }
 
-static void ask(const char *agent)
+static void query_ledger(const char *agent)
 {
 	dy_ledger_ask_t message = { (char *)agent };
 
-	world.answered = 0;
+	fixture.answered = 0;
 	send_message(DY_LEDGER_ASK, (xdrproc_t)xdr_dy_ledger_ask_t, &message);
-	fake_control_run(&world.fake, TICKS_MAX, &world.answered);
-	ck_assert(world.answered);
+	fake_control_run(&fixture.fake, TICKS_MAX, &fixture.answered);
+	ck_assert(fixture.answered);
 }
 
 /*
- * All power is lost. The control that comes back is asked which flows were
- * open, and has nothing but its disk.
+ * Guards against lost lists: after a loss of all power, the restarted control
+ * is asked which flows were open and has only its disk.
  */
-START_TEST(lists_outlive_a_restart)
+START_TEST(keeps_lists_across_restart)
 {
 	begin();
-	ask("a1");
-	ck_assert_uint_eq(world.flows, 0);
+	query_ledger("a1");
+	ck_assert_uint_eq(fixture.flows, 0);
 	keep(1, 3);
 	keep(2, 5);
 	stop();
 	start();
-	ask("a1");
-	ck_assert_uint_eq(world.flows, 5);
-	ck_assert_uint_eq(world.list, 2);
-	ask("a2");
-	ck_assert_uint_eq(world.flows, 0);
+	query_ledger("a1");
+	ck_assert_uint_eq(fixture.flows, 5);
+	ck_assert_uint_eq(fixture.list, 2);
+	query_ledger("a2");
+	ck_assert_uint_eq(fixture.flows, 0);
 	end();
 }
 END_TEST
 
-/* Power is lost while a file is written: the one before is read. */
-START_TEST(torn_file_is_passed_over)
+/*
+ * Guards against a file that is torn by a power loss: the previous file is
+ * read.
+ */
+START_TEST(reads_previous_file_if_newest_is_torn)
 {
 	char *path;
 	char *bytes;
@@ -180,9 +183,9 @@
 	bytes[len - 1] ^= 1;
 	ck_assert(g_file_set_contents(path, bytes, (gssize)len, NULL));
 	start();
-	ask("a1");
-	ck_assert_uint_eq(world.flows, 3);
-	ck_assert_uint_eq(world.list, 1);
+	query_ledger("a1");
+	ck_assert_uint_eq(fixture.flows, 3);
+	ck_assert_uint_eq(fixture.list, 1);
 	g_free(bytes);
 	g_free(path);
 	end();
@@ -192,8 +195,8 @@
 int main(void)
 {
 	const TTest *const tests[] = {
-		lists_outlive_a_restart,
-		torn_file_is_passed_over,
+		keeps_lists_across_restart,
+		reads_previous_file_if_newest_is_torn,
 		NULL,
 	};
 
--- a/tests/test_control_publish.c
+++ b/tests/test_control_publish.c
@@ -1,11 +1,11 @@
-/* Documents that are raised and read through a control's own process. */
+/* Publishing and reading documents in the control's own process. */
 
 #include <string.h>
 
 #include "fake_control.h"
 #include "fake_suite.h"
 
-#define WAIT_TICKS 2000 /* of 5 ms: far longer than founding takes */
+#define WAIT_TICKS 2000 /* of 5 ms: far longer than a bootstrap takes */
 
 typedef struct outcome {
 	int known;
@@ -13,15 +13,15 @@
 	char bytes[64];
 } outcome_t;
 
-static fake_control_t world;
+static fake_control_t fixture;
 
 static void wait_for(const int *known)
 {
-	fake_control_run(&world, WAIT_TICKS, known);
+	fake_control_run(&fixture, WAIT_TICKS, known);
 	ck_assert(*known);
 }
 
-static void on_raised(void *context, dy_status_t status, const char *message)
+static void on_published(void *context, dy_status_t status, const char *message)
 {
 	outcome_t *outcome = context;
 
@@ -30,8 +30,8 @@
 	g_strlcpy(outcome->bytes, message, sizeof(outcome->bytes));
 }
 
-static void on_loaded(void *context, dy_status_t status, const uint8_t *bytes,
-		      size_t size)
+static void on_document_read(void *context, dy_status_t status,
+			     const uint8_t *bytes, size_t size)
 {
 	outcome_t *outcome = context;
 
@@ -42,7 +42,7 @@
 		memcpy(outcome->bytes, bytes, size);
 }
 
-/* "bad" is no document. */
+/* Rejects "bad". */
 static int check(void *context, const uint8_t *bytes, size_t size,
 		 char *message, size_t message_size)
 {
@@ -53,156 +53,160 @@
 
 static void begin(void)
 {
-	fake_control_init(&world);
-	world.options.check = check;
-	fake_control_start(&world);
+	fake_control_init(&fixture);
+	fixture.options.check = check;
+	fake_control_start(&fixture);
 }
 
 static void end(void)
 {
-	fake_control_stop(&world);
-	fake_control_clear(&world);
+	fake_control_stop(&fixture);
+	fake_control_clear(&fixture);
 }
 
-static void raise_one(outcome_t *outcome, uint64_t number, const char *text)
+static void publish(outcome_t *outcome, uint64_t number, const char *text)
 {
 	outcome->known = 0;
-	dy_control_publish(world.control, (const uint8_t *)text, strlen(text),
-			   number, on_raised, outcome);
+	dy_control_publish(fixture.control, (const uint8_t *)text, strlen(text),
+			   number, on_published, outcome);
 }
 
-static outcome_t load(void)
+static outcome_t read_document(void)
 {
 	outcome_t outcome = { 0 };
 
 	do {
 		outcome.known = 0;
-		dy_control_read_document(world.control, on_loaded, &outcome);
+		dy_control_read_document(fixture.control, on_document_read,
+					 &outcome);
 		wait_for(&outcome.known);
 		if (outcome.status == DY_STATUS_NOT_LEADER ||
 		    outcome.status == DY_STATUS_UNAVAILABLE)
-			fake_control_run(&world, 10, NULL);
+			fake_control_run(&fixture, 10, NULL);
 	} while (outcome.status == DY_STATUS_NOT_LEADER ||
 		 outcome.status == DY_STATUS_UNAVAILABLE);
 	return outcome;
 }
 
 /*
- * A control that does not lead, or leads and is not sure, must not answer
- * from what it holds: it was behind a partition, and comes back.
+ * Guards against a stale answer: a control that does not lead, or whose
+ * leadership is not confirmed, as after a partition, must not answer from its
+ * own state.
  */
-START_TEST(nothing_is_said_before_a_majority_confirms)
+START_TEST(rejects_calls_before_majority_confirms_leader)
 {
-	outcome_t raised = { 0 };
-	outcome_t loaded = { 0 };
+	outcome_t published = { 0 };
+	outcome_t read_result = { 0 };
 
 	begin();
-	raise_one(&raised, 1, "one");
-	ck_assert(raised.known);
-	ck_assert_int_ne(raised.status, DY_STATUS_OK);
-	dy_control_read_document(world.control, on_loaded, &loaded);
-	ck_assert(loaded.known);
-	ck_assert_int_ne(loaded.status, DY_STATUS_OK);
-	ck_assert_int_eq(load().status, DY_STATUS_NOT_FOUND);
+	publish(&published, 1, "one");
+	ck_assert(published.known);
+	ck_assert_int_ne(published.status, DY_STATUS_OK);
+	dy_control_read_document(fixture.control, on_document_read,
+				 &read_result);
+	ck_assert(read_result.known);
+	ck_assert_int_ne(read_result.status, DY_STATUS_OK);
+	ck_assert_int_eq(read_document().status, DY_STATUS_NOT_FOUND);
 	end();
 }
 END_TEST
 
 /*
- * Versions come in quick succession, each larger than the log likes. Those
- * that wait while one is under way are overtaken by the highest of them, and
- * acknowledged with it; the log takes two, not eight.
+ * Guards against a flood of large log entries: versions arrive in quick
+ * succession. Those that wait while one is proposed are superseded by the
+ * highest of them and acknowledged with it; the log gets two documents, not
+ * eight.
  */
-START_TEST(burst_of_versions_is_overtaken_by_the_highest)
+START_TEST(highest_version_supersedes_burst)
 {
-	outcome_t raised[8] = { { 0 } };
+	outcome_t published[8] = { { 0 } };
 	outcome_t held;
 	char text[16];
 	int i;
 
 	begin();
-	load();
+	read_document();
 	for (i = 0; i < 8; i++) {
 		g_snprintf(text, sizeof(text), "v%d", i == 3 ? 90 : 10 + i);
-		raise_one(&raised[i], i == 3 ? 90 : 10 + i, text);
+		publish(&published[i], i == 3 ? 90 : 10 + i, text);
 	}
 	for (i = 0; i < 8; i++) {
-		wait_for(&raised[i].known);
-		ck_assert_int_eq(raised[i].status, DY_STATUS_OK);
+		wait_for(&published[i].known);
+		ck_assert_int_eq(published[i].status, DY_STATUS_OK);
 	}
-	held = load();
+	held = read_document();
 	ck_assert_str_eq(held.bytes, "v90");
-	ck_assert_uint_eq(dy_metrics_value(world.metrics, "document_accepted"),
-			  2);
+	ck_assert_uint_eq(
+		dy_metrics_value(fixture.metrics, "document_accepted"), 2);
 	end();
 }
 END_TEST
 
 /*
- * An older version arrives again, and other content under the version held:
- * both are acknowledged, change nothing, and are never read back, also after
- * a restart.
+ * An older version arrives again, and different content under the version in
+ * force: both are acknowledged, change nothing and are never read back, also
+ * after a restart.
  */
-START_TEST(versions_not_higher_change_nothing)
+START_TEST(ignores_versions_that_are_not_higher)
 {
-	outcome_t raised = { 0 };
+	outcome_t published = { 0 };
 
 	begin();
-	load();
-	raise_one(&raised, 50, "fifty");
-	wait_for(&raised.known);
-	ck_assert_int_eq(raised.status, DY_STATUS_OK);
-	raise_one(&raised, 50, "other");
-	wait_for(&raised.known);
-	ck_assert_int_eq(raised.status, DY_STATUS_OK);
-	raise_one(&raised, 7, "seven");
-	wait_for(&raised.known);
-	ck_assert_int_eq(raised.status, DY_STATUS_OK);
-	ck_assert_str_eq(load().bytes, "fifty");
-	fake_control_stop(&world);
-	fake_control_start(&world);
-	ck_assert_str_eq(load().bytes, "fifty");
-	raise_one(&raised, 7, "seven");
-	wait_for(&raised.known);
-	ck_assert_str_eq(load().bytes, "fifty");
+	read_document();
+	publish(&published, 50, "fifty");
+	wait_for(&published.known);
+	ck_assert_int_eq(published.status, DY_STATUS_OK);
+	publish(&published, 50, "other");
+	wait_for(&published.known);
+	ck_assert_int_eq(published.status, DY_STATUS_OK);
+	publish(&published, 7, "seven");
+	wait_for(&published.known);
+	ck_assert_int_eq(published.status, DY_STATUS_OK);
+	ck_assert_str_eq(read_document().bytes, "fifty");
+	fake_control_stop(&fixture);
+	fake_control_start(&fixture);
+	ck_assert_str_eq(read_document().bytes, "fifty");
+	publish(&published, 7, "seven");
+	wait_for(&published.known);
+	ck_assert_str_eq(read_document().bytes, "fifty");
 	end();
 }
 END_TEST
 
-/* The control is destroyed while orders wait: each is answered, once. */
-START_TEST(orders_are_answered_when_the_control_ends)
+/* The control is destroyed while publications wait: each is answered once. */
+START_TEST(answers_publications_when_control_is_destroyed)
 {
-	outcome_t raised[3] = { { 0 } };
+	outcome_t published[3] = { { 0 } };
 	int i;
 
 	begin();
-	load();
+	read_document();
 	for (i = 0; i < 3; i++)
-		raise_one(&raised[i], 5 + i, "x");
-	fake_control_stop(&world);
+		publish(&published[i], 5 + i, "x");
+	fake_control_stop(&fixture);
 	for (i = 0; i < 3; i++) {
-		ck_assert(raised[i].known);
-		ck_assert_int_eq(raised[i].status, DY_STATUS_UNAVAILABLE);
+		ck_assert(published[i].known);
+		ck_assert_int_eq(published[i].status, DY_STATUS_UNAVAILABLE);
 	}
-	fake_control_start(&world);
+	fake_control_start(&fixture);
 	end();
 }
 END_TEST
 
-/* More orders than any operator has under way are refused, not kept. */
-START_TEST(orders_that_wait_are_bounded)
+/* Publications beyond the limit are refused instead of queued. */
+START_TEST(refuses_publications_over_limit)
 {
-	static outcome_t raised[100];
+	static outcome_t published[100];
 	unsigned refused = 0;
 	int i;
 
 	begin();
-	load();
+	read_document();
 	for (i = 0; i < 100; i++)
-		raise_one(&raised[i], 5 + i, "x");
+		publish(&published[i], 5 + i, "x");
 	for (i = 0; i < 100; i++) {
-		wait_for(&raised[i].known);
-		refused += raised[i].status == DY_STATUS_UNAVAILABLE;
+		wait_for(&published[i].known);
+		refused += published[i].status == DY_STATUS_UNAVAILABLE;
 	}
 	ck_assert_uint_eq(refused, 68);
 	end();
@@ -212,13 +216,13 @@
 int main(void)
 {
 	const TTest *const tests[] = {
-		nothing_is_said_before_a_majority_confirms,
-		burst_of_versions_is_overtaken_by_the_highest,
-		versions_not_higher_change_nothing,
-		orders_are_answered_when_the_control_ends,
-		orders_that_wait_are_bounded,
+		rejects_calls_before_majority_confirms_leader,
+		highest_version_supersedes_burst,
+		ignores_versions_that_are_not_higher,
+		answers_publications_when_control_is_destroyed,
+		refuses_publications_over_limit,
 		NULL,
 	};
 
-	return fake_suite_run("control_raise", tests);
+	return fake_suite_run("control_publish", tests);
 }
--- a/tests/test_invitations.c
+++ b/tests/test_invitations.c
@@ -2,7 +2,7 @@
 
 #include "fake_suite.h"
 
-/* Returns the member that is invited next, or 0. */
+/* Returns the next member to invite, or 0. */
 static uint64_t next(dy_invitations_t *invitations, uint64_t now)
 {
 	uint64_t member = 0;
@@ -11,11 +11,11 @@
 }
 
 /*
- * A leader finds three hundred members in its log. Called all at once they
- * would be a crowd; it calls some, and one more for each that came. Balancers
- * are called first: callers wait for them.
+ * Guards against a flood of polls: a leader with 300 members in its log invites
+ * a bounded number at once and one more for each that polled. Balancers come
+ * first, because callers wait for them.
  */
-START_TEST(some_are_invited_at_once_balancers_first)
+START_TEST(invites_bounded_number_balancers_first)
 {
 	dy_invitations_t *invitations = dy_invitations_create();
 	uint64_t member;
@@ -41,8 +41,11 @@
 }
 END_TEST
 
-/* Members that are down hold a place for a while only. */
-START_TEST(member_that_does_not_come_is_not_waited_for)
+/*
+ * Guards against members that are down and block further invitations: their
+ * invitations time out.
+ */
+START_TEST(expires_invitation_of_silent_member)
 {
 	dy_invitations_t *invitations = dy_invitations_create();
 	unsigned i;
@@ -62,8 +65,11 @@
 }
 END_TEST
 
-/* Whoever came by itself is not called, and nobody twice. */
-START_TEST(member_that_came_is_not_invited)
+/*
+ * A member that has polled already is not invited, and no member is invited
+ * twice.
+ */
+START_TEST(skips_member_that_polled)
 {
 	dy_invitations_t *invitations = dy_invitations_create();
 
@@ -85,9 +91,9 @@
 int main(void)
 {
 	const TTest *const tests[] = {
-		some_are_invited_at_once_balancers_first,
-		member_that_does_not_come_is_not_waited_for,
-		member_that_came_is_not_invited,
+		invites_bounded_number_balancers_first,
+		expires_invitation_of_silent_member,
+		skips_member_that_polled,
 		NULL,
 	};
 
