--- a/include/damaskyard/admission.h
+++ b/include/damaskyard/admission.h
@@ -2,40 +2,46 @@
 #define DAMASKYARD_ADMISSION_H
 
 /*
- * Admission of calls at the agent: which call takes a free slot of the
- * target, which one waits, which one is refused as not run, and when a
- * refused caller should come back. Pure: no network, no clock, no thread.
+ * Admission control for calls at the agent. It decides which call gets a free
+ * slot of the target, which call waits in the queue, which call is refused
+ * without being run, and when a refused caller should retry. It has no network,
+ * no clock and no thread of its own.
  *
- * Load pattern: mechanism; without it
- * - burst: bounded queue; refused though a slot comes free in time
+ * Load pattern: mechanism; effect without it
+ * - burst: bounded queue; calls are refused although a slot becomes free in
+ *   time
  * - overload, slow target: deadline test; slots run calls whose callers have
- *   gone
- * - one hot caller: fair queueing by caller; all wait behind its backlog
- * - one hot key: fair queueing by key; the same, by many callers of one key
- * - long calls among short: reserved slot, cost in the fair share; a long call
- *   in each slot, short ones wait
- * - pulls against submissions: shares of slot time and of the queue; a crowd
- *   of pulls makes a reading late or lost
- * - the refused come back: booked retry times; one wave after another
+ *   already timed out
+ * - one hot caller: fair queueing by caller; all other callers wait behind its
+ *   backlog
+ * - one hot key: fair queueing by key; other callers wait behind the many
+ *   callers of that key
+ * - long calls mixed with short ones: reserved slots, and the cost of a call in
+ *   its fair share; long calls occupy every slot and short calls wait
+ * - pulls against submissions: shares of slot time and of the queue; many pulls
+ *   delay a reading or cause its loss
+ * - retries of refused callers: scheduled retry times; they return in
+ *   synchronized waves
  *
- * The grounds for each figure stand beside it; the measurements are in
- * docs/MEASUREMENTS.md, "Decisions under load".
+ * The reason for each default stands beside it. Measurements are in
+ * docs/MEASUREMENTS.md, section "Decisions under load".
  *
- * How the owner drives it:
+ * How the owner calls it:
  *
- *	submit() for each call; DY_ADMISSION_RUN: send it to the target.
- *	finish() when the target answered, or its connection was given up;
- *	then next() until it returns NULL, sending each item to the target.
- *	expire() until it returns NULL after each submit() that queued, and
- *	every 50 ms while any call runs or waits: refuse each item.
+ *	submit() for each call; on DY_ADMISSION_RUN send it to the target.
+ *	finish() when the target has answered or its connection is closed;
+ *	then next() until it returns NULL, and send each item to the target.
+ *	expire() until it returns NULL, after each submit() that queued and
+ *	every 50 ms while any call runs or waits; refuse each item.
  *
- * Each submitted item has exactly one outcome: refused by submit(), refused
- * by expire(), cancelled by cancel(), or run (RUN or next(), then finish()).
- * An item that was handed out to run is never refused.
+ * Each submitted item has exactly one outcome: refused by submit(), refused by
+ * expire(), cancelled by cancel(), or run (DY_ADMISSION_RUN or next(), then
+ * finish()). An item that was handed out to run is never refused.
  *
- * Times are microseconds of a monotonic clock. A clock that goes back is
- * taken to stand still. A jump forward (a VM that was frozen) expires what is
- * overdue, and the calls that ran across it are not learned from.
+ * Times are microseconds of a monotonic clock. If the clock goes back, time
+ * stands still until it catches up. A jump forward (a suspended VM) expires
+ * overdue calls, and the calls that ran across it do not update the service
+ * time estimates.
  */
 
 #include <stddef.h>
@@ -48,21 +54,21 @@
 typedef struct dy_admission dy_admission_t;
 
 /*
- * The part of a call that admission sees; it stands inside the owner's call
- * record, which DY_LIST_ITEM(item, call_t, admission) finds again. The owner
- * fills the first block before submit() and leaves the second alone.
+ * The part of a call that admission uses. It is embedded in the owner's call
+ * record; DY_LIST_ITEM(item, call_t, admission) returns that record. The owner
+ * fills the first block before submit() and does not touch the second.
  */
 typedef struct dy_admission_item {
-	uint64_t caller;      /* hash of who calls; 0: unknown, all alike */
-	uint64_t key;	      /* hash of what is asked for; 0: no key */
-	uint64_t deadline_us; /* the caller has gone then; 0: the default */
-	uint32_t procedure;   /* service time is learned for each */
+	uint64_t caller; /* hash of the caller; 0: unknown, one shared caller */
+	uint64_t key;	 /* hash of the requested object; 0: no key */
+	uint64_t deadline_us; /* when the caller times out; 0: the default */
+	uint32_t procedure;   /* service times are kept per procedure */
 	uint8_t idempotent;   /* 1: a pull; 0: a submission or an edit */
 
 	uint8_t state;
 	uint8_t reason;
 	uint8_t is_long;
-	uint32_t freezes;
+	uint32_t suspensions;
 	dy_list_t link;
 	uint64_t submitted_us;
 	uint64_t started_us;
@@ -74,114 +80,117 @@
 
 typedef struct dy_admission_config {
 	/*
-	 * Calls that the target runs at once: 7 at Ciel Noir, 4 at Lakeshore.
+	 * Calls that the target runs concurrently: 7 at Ciel Noir, 4 at
+	 * Lakeshore.
 	 */
 	uint32_t slots;
 
 	/*
-	 * Calls that may wait. 256 of 5 ms keep 7 slots busy for 180 ms: the
-	 * deadline test, not this bound, should be what refuses; the bound
-	 * keeps memory and the cost of a scan small.
+	 * Maximum number of queued calls. 256 calls of 5 ms keep 7 slots busy
+	 * for 180 ms. Calls should be refused by the deadline test and not by
+	 * this bound, which limits memory and the cost of a scan.
 	 */
 	uint32_t queue_limit;
 
-	/* For a call that carries no deadline, after its submission. */
+	/* Time from submission to the deadline of a call that carries none. */
 	uint64_t default_budget_us;
 
 	/*
-	 * The part of a call's time to its deadline that it may spend in the
-	 * queue, in percent. 50 leaves the refused caller as much time again
-	 * to come back or to ask elsewhere.
+	 * Percentage of a call's time to its deadline that it may spend in the
+	 * queue. 50 leaves a refused caller as much time again to retry or to
+	 * call elsewhere.
 	 */
 	uint32_t queue_wait_percent;
 
 	/*
-	 * The same for pulls while each has waited for a second already: it
-	 * is then no burst, a long queue adds only to the wait of each call.
+	 * The same for pulls during a standing queue, in which every pull has
+	 * had to wait for more than a second. Such a queue does not absorb a
+	 * burst; a long one only adds latency to each call.
 	 */
 	uint32_t standing_queue_wait_percent;
 
-	/* Service time taken for a procedure that was never seen. */
+	/* Service time assumed for a procedure that has never been called. */
 	uint64_t initial_estimate_us;
 
 	/*
-	 * Part of the slot time and of the queue, in percent, which
-	 * submissions and edits get while pulls wait as well. The rest is the
-	 * pulls': neither starves the other. Unused share goes to the other.
-	 * 90, as a reading or an edit is lost where a pull is only repeated:
-	 * with 75, when a failure domain goes, 83% instead of 92% of the
-	 * submissions to 3 targets were in time; pulls 88% instead of 60%.
+	 * Percentage of the slot time and of the queue reserved for submissions
+	 * and edits while pulls wait as well. Pulls get the rest, so neither
+	 * starves the other; an unused share goes to the other. 90, because a
+	 * reading or an edit is lost where a pull is only repeated. With 75,
+	 * after the loss of a failure domain, 83% instead of 92% of the
+	 * submissions to 3 targets were in time, and 88% instead of 60% of the
+	 * pulls.
 	 */
 	uint32_t submission_percent;
 
 	/*
-	 * Slots that long calls leave free while short calls are about,
-	 * above those that the short ones keep busy, and up to half of all.
-	 * 0 turns both off.
+	 * Slots that long calls leave free while short calls arrive, in
+	 * addition to the slots that short calls keep busy; together at most
+	 * half of all slots. 0 disables both reservations.
 	 */
 	uint32_t reserved_short_slots;
 
-	/* A refused caller is told to come back between these, in ms. */
+	/* Bounds of the retry delay given to a refused caller, in ms. */
 	uint32_t retry_min_ms;
 	uint32_t retry_max_ms;
 } dy_admission_config_t;
 
 typedef enum dy_admission_outcome {
-	DY_ADMISSION_RUN,    /* a slot is taken: send it to the target */
-	DY_ADMISSION_QUEUED, /* next() or expire() will hand it out */
+	DY_ADMISSION_RUN,    /* a slot is assigned: send it to the target */
+	DY_ADMISSION_QUEUED, /* next() or expire() returns it later */
 	DY_ADMISSION_REFUSED /* not run, and never will be */
 } dy_admission_outcome_t;
 
 typedef enum dy_admission_reason {
 	DY_ADMISSION_ACCEPTED,
 	DY_ADMISSION_LATE, /* could not finish before its deadline */
-	DY_ADMISSION_FULL, /* queue full, and others' turn comes first */
+	DY_ADMISSION_FULL, /* queue full, and other calls go first */
 	DY_ADMISSION_REASONS
 } dy_admission_reason_t;
 
-/* What a refused caller is told. */
+/* The reply to a refused caller. */
 typedef struct dy_admission_refusal {
 	dy_admission_reason_t reason;
 	uint32_t retry_after_ms;
 } dy_admission_refusal_t;
 
-/* How a call that ran came to its end. */
+/* How a running call ended. */
 typedef enum dy_admission_end {
-	DY_ADMISSION_ANSWERED,	/* the target answered: learned from */
+	DY_ADMISSION_ANSWERED,	/* answered: updates the service time */
 	DY_ADMISSION_ABANDONED, /* no answer: the time is a lower bound */
-	DY_ADMISSION_UNSENT	/* never reached the target: not learned */
+	DY_ADMISSION_UNSENT	/* never sent to the target: no sample */
 } dy_admission_end_t;
 
-/* What the agent puts into each answer, for the balancers' choice. */
+/* Load report in each answer; balancers use it to select a target. */
 typedef struct dy_admission_load {
 	uint32_t slots;
 	uint32_t in_flight;
 	uint32_t queued;
-	uint64_t expected_wait_us; /* of a new caller, in the fuller lane */
+	uint64_t expected_wait_us; /* of a new caller, in the busier class */
 } dy_admission_load_t;
 
-/* Set *config to the defaults for a target with so many slots. */
+/* Sets *config to the defaults for a target with `slots` slots. */
 void dy_admission_config_init(dy_admission_config_t *config, uint32_t slots);
 
 /*
- * Create an admission control. config is copied; rand is borrowed and must
- * outlive it (retry jitter, and the seed that keeps callers from aiming at
- * each other's place in the hash table). Never fails.
+ * Creates an admission control. config is copied. rand is borrowed and must
+ * outlive it; it provides the retry jitter and the hash seed, which prevents
+ * callers from choosing the hash bucket of another caller. Never fails.
  */
 dy_admission_t *dy_admission_create(const dy_admission_config_t *config,
 				    GRand *rand);
 
 /*
- * Free it. Items still queued or running are forgotten, not refused: the
- * owner answers them itself. NULL is allowed.
+ * Frees the admission control. Items that are queued or running are not
+ * refused: the owner answers them itself. NULL is allowed.
  */
 void dy_admission_destroy(dy_admission_t *admission);
 
 /*
- * Submit a call. item must stay in place until its outcome. On
- * DY_ADMISSION_REFUSED, *refusal says why and when to come back; else it is
- * left alone. When a call is queued at a full queue, another one loses its
- * place: expire() hands that one out.
+ * Submits a call. item must stay in place until its outcome. On
+ * DY_ADMISSION_REFUSED, *refusal holds the reason and the retry delay;
+ * otherwise it is not modified. If a call is queued while the queue is full,
+ * another call is evicted: expire() returns that one.
  */
 dy_admission_outcome_t dy_admission_submit(dy_admission_t *admission,
 					   dy_admission_item_t *item,
@@ -189,40 +198,41 @@
 					   dy_admission_refusal_t *refusal);
 
 /*
- * Give back the slot of an item that runs. An item in any other state is left
- * alone. Call next() afterwards.
+ * Releases the slot of a running item. An item in any other state is not
+ * modified. Call next() afterwards.
  */
 void dy_admission_finish(dy_admission_t *admission, dy_admission_item_t *item,
 			 dy_admission_end_t end, uint64_t now_us);
 
 /*
- * Take a call out of the queue because its caller has gone. Returns 1 if it
- * was queued (it will never run), 0 if it runs or has ended: a running call
- * keeps its slot until finish().
+ * Removes a call from the queue because its caller has cancelled it or is gone.
+ * Returns 1 if it was queued (it will never run), 0 if it runs or has ended: a
+ * running call keeps its slot until finish().
  */
 int dy_admission_cancel(dy_admission_t *admission, dy_admission_item_t *item);
 
-/* Returns the next call to run, with its slot taken, or NULL. */
+/* Returns the next call to run, with a slot assigned, or NULL. */
 dy_admission_item_t *dy_admission_next(dy_admission_t *admission,
 				       uint64_t now_us);
 
 /*
- * Returns a queued call that is given up on, with what to tell its caller, or
- * NULL if there is none. A call is given up on as soon as the work before it
- * shows that its turn comes too late, not when its deadline is near.
+ * Returns a queued call that is dropped, with the reply for its caller in
+ * *refusal, or NULL if there is none. A call is dropped as soon as the work
+ * ahead of it shows that it would start too late, not when its deadline is
+ * near.
  */
 dy_admission_item_t *dy_admission_expire(dy_admission_t *admission,
 					 uint64_t now_us,
 					 dy_admission_refusal_t *refusal);
 
 /*
- * Change the number of slots. With fewer slots than running calls nothing is
- * cut: no call starts until enough have finished. 0 is allowed.
+ * Changes the number of slots. If fewer slots remain than calls run, no running
+ * call is aborted: no call starts until enough have finished. 0 is allowed.
  */
 void dy_admission_set_slots(dy_admission_t *admission, uint32_t slots);
 
 /*
- * Read the load at now_us. Without slots the expected wait is an hour, the
+ * Reads the load at now_us. Without slots the expected wait is an hour, the
  * longest that is reported.
  */
 void dy_admission_load(const dy_admission_t *admission, uint64_t now_us,
--- a/src/request/fair_queue.h
+++ b/src/request/fair_queue.h
@@ -2,15 +2,17 @@
 #define DY_FAIR_LANE_H
 
 /*
- * A queue that is fair between callers and between keys: weighted fair
- * queueing. Each caller and each key has a tag, the virtual time up to which
- * it has had its share; a call starts at the latest of the lane's virtual
- * time, its caller's tag and its key's tag, and finishes its cost later. The
- * lane is kept in the order of the finish tags, first come first served among
- * equals: of two callers that come anew, the shorter call goes first. The
- * virtual time moves on by the cost of each call taken out, shared among those
- * that wait, so a long call is passed by short ones only until each caller
- * that waits has had as much.
+ * Weighted fair queueing between callers and between keys.
+ *
+ * Each caller and each key has a tag: the virtual time up to which it has used
+ * its share. The start tag of a call is the latest of the queue's virtual time,
+ * its caller's tag and its key's tag; its finish tag is the start tag plus its
+ * cost. The queue is ordered by finish tag, first come first served among
+ * equals: of two new callers, the one with the shorter call goes first.
+ *
+ * Each call that is dequeued advances the virtual time by its cost divided by
+ * the number of waiting calls. Short calls therefore overtake a long call only
+ * until each waiting caller has received as much service.
  */
 
 #include <stdint.h>
@@ -19,48 +21,54 @@
 #include "damaskyard/list.h"
 
 /*
- * Places for tags, found by hash. 2,000 connections share 1,024 places, but
- * only those with a call that waits (256 at most) matter: a given caller
- * shares its place with one of them in about one case of five, and then two
- * callers have one share.
+ * Hash buckets for tags. 2,000 connections share 1,024 buckets, but only
+ * callers with a waiting call matter (256 at most): a given caller shares its
+ * bucket with one of them in about one case of five, and both then share one
+ * fair share.
  */
-#define DY_FAIR_PLACES 1024
+#define DY_FAIR_QUEUE_BUCKETS 1024
 
-typedef struct dy_fair_lane {
+typedef struct dy_fair_queue {
 	dy_list_t items;
 	uint32_t count;
-	uint64_t queued_us; /* sum of the costs that wait */
+	uint64_t queued_us; /* sum of the costs of waiting calls */
 	uint64_t virtual_us;
 	uint64_t seed;
-	uint64_t callers[DY_FAIR_PLACES];
-	uint64_t keys[DY_FAIR_PLACES];
-} dy_fair_lane_t;
+	uint64_t callers[DY_FAIR_QUEUE_BUCKETS];
+	uint64_t keys[DY_FAIR_QUEUE_BUCKETS];
+} dy_fair_queue_t;
 
-void dy_fair_lane_init(dy_fair_lane_t *lane, uint64_t seed);
+/* Initializes an empty queue; seed is the seed of the bucket hash. */
+void dy_fair_queue_init(dy_fair_queue_t *queue, uint64_t seed);
 
-/* Set item->start_tag; charges nothing. */
-void dy_fair_lane_place(const dy_fair_lane_t *lane, dy_admission_item_t *item);
+/* Sets item->start_tag without charging the caller or key. */
+void dy_fair_queue_set_start_tag(const dy_fair_queue_t *queue,
+				 dy_admission_item_t *item);
 
-/* The place of an item that was placed: lower goes first. */
-uint64_t dy_fair_lane_finish_tag(const dy_admission_item_t *item);
+/*
+ * Returns the finish tag of an item whose start tag is set; lower goes first.
+ */
+uint64_t dy_fair_queue_finish_tag(const dy_admission_item_t *item);
 
-/* Sum of the costs that wait before a finish tag. */
-uint64_t dy_fair_lane_ahead_us(const dy_fair_lane_t *lane, uint64_t finish_tag);
+/* Returns the cost of the waiting calls up to a finish tag, in us. */
+uint64_t dy_fair_queue_ahead_us(const dy_fair_queue_t *queue,
+				uint64_t finish_tag);
 
-/* Queue an item that was placed, and charge its caller and key. */
-void dy_fair_lane_add(dy_fair_lane_t *lane, dy_admission_item_t *item);
+/* Enqueues an item whose start tag is set, and charges its caller and key. */
+void dy_fair_queue_enqueue(dy_fair_queue_t *queue, dy_admission_item_t *item);
 
-/* Charge an item that was placed and runs at once. */
-void dy_fair_lane_charge(dy_fair_lane_t *lane, dy_admission_item_t *item);
+/* Charges an item whose start tag is set and that runs without being queued. */
+void dy_fair_queue_charge(dy_fair_queue_t *queue, dy_admission_item_t *item);
 
-/* Take an item out to run it: the lane's virtual time moves on to it. */
-void dy_fair_lane_take(dy_fair_lane_t *lane, dy_admission_item_t *item);
+/* Dequeues an item to run it, and advances the virtual time. */
+void dy_fair_queue_dequeue(dy_fair_queue_t *queue, dy_admission_item_t *item);
 
-/* Take an item out that won't run, and give back what it was charged. */
-void dy_fair_lane_remove(dy_fair_lane_t *lane, dy_admission_item_t *item);
+/* Removes an item that will not run, and refunds its charge. */
+void dy_fair_queue_remove(dy_fair_queue_t *queue, dy_admission_item_t *item);
 
-/* Charge what an item took above its cost, once that is known. */
-void dy_fair_lane_correct(dy_fair_lane_t *lane, const dy_admission_item_t *item,
-			  uint64_t extra_us);
+/* Charges the service time of an item beyond its estimated cost. */
+void dy_fair_queue_charge_extra(dy_fair_queue_t *queue,
+				const dy_admission_item_t *item,
+				uint64_t extra_us);
 
 #endif
--- a/src/request/service_time.c
+++ b/src/request/service_time.c
@@ -4,25 +4,27 @@
 
 #define US_PER_S 1000000ULL
 
-/* Weights of a new sample: 1/8 in the mean, 1/4 in the deviation. */
+/* Weights of a new sample, as shifts: 1/8 in the mean, 1/4 in the deviation. */
 #define MEAN_SHIFT 3
 #define DEVIATION_SHIFT 2
 
 /*
- * A call is long from four times the lightest procedure's mean, and never
- * below 20 ms: a short call of a few ms hardly notices to wait for that.
+ * A call is long if it takes at least four times the mean of the shortest
+ * procedure, and at least 20 ms: a shorter wait hardly affects a call of a few
+ * ms.
  */
 #define LONG_RATIO 4
-#define LONG_LEAST_US 20000
+#define LONG_MIN_US 20000
 
-/* A procedure not seen for so long says nothing of the traffic of today. */
-#define RECENT_US (10 * US_PER_S)
+/* Samples older than this are not representative of the current traffic. */
+#define SAMPLE_MAX_AGE_US (10 * US_PER_S)
 
 void dy_service_times_init(dy_service_times_t *times,
-			   uint64_t first_estimate_us)
+			   uint64_t initial_estimate_us)
 {
 	memset(times, 0, sizeof(*times));
-	times->first_estimate_us = first_estimate_us ? first_estimate_us : 1;
+	times->initial_estimate_us =
+		initial_estimate_us ? initial_estimate_us : 1;
 }
 
 static const dy_service_time_t *find(const dy_service_times_t *times,
@@ -31,35 +33,37 @@
 	return &times->procedures[procedure % DY_SERVICE_PROCEDURES];
 }
 
-static void update_lightest(dy_service_times_t *times, uint64_t now_us)
+static void update_shortest(dy_service_times_t *times, uint64_t now_us)
 {
 	const dy_service_time_t *time;
-	uint64_t lightest = 0;
+	uint64_t shortest = 0;
 	int i;
 
 	for (i = 0; i < DY_SERVICE_PROCEDURES; i++) {
 		time = &times->procedures[i];
-		if (!time->learned_us || now_us - time->learned_us > RECENT_US)
+		if (!time->sampled_us ||
+		    now_us - time->sampled_us > SAMPLE_MAX_AGE_US)
 			continue;
-		if (!lightest || time->mean_us < lightest)
-			lightest = time->mean_us;
+		if (!shortest || time->mean_us < shortest)
+			shortest = time->mean_us;
 	}
-	times->lightest_us = lightest;
+	times->shortest_us = shortest;
 }
 
-void dy_service_times_learn(dy_service_times_t *times, uint32_t procedure,
-			    uint64_t took_us, int lower_bound, uint64_t now_us)
+void dy_service_times_add_sample(dy_service_times_t *times, uint32_t procedure,
+				 uint64_t took_us, int lower_bound,
+				 uint64_t now_us)
 {
 	dy_service_time_t *time =
 		&times->procedures[procedure % DY_SERVICE_PROCEDURES];
 	int64_t error;
 
-	/* A lower bound below the mean teaches nothing. */
-	if (lower_bound && time->learned_us && took_us < time->mean_us)
+	/* A lower bound below the mean contains no information. */
+	if (lower_bound && time->sampled_us && took_us < time->mean_us)
 		return;
 	if (!took_us)
 		took_us = 1;
-	if (!time->learned_us) {
+	if (!time->sampled_us) {
 		time->mean_us = took_us;
 		time->deviation_us = took_us / 2;
 	} else {
@@ -70,8 +74,8 @@
 		error -= (int64_t)time->deviation_us;
 		time->deviation_us += error / (1 << DEVIATION_SHIFT);
 	}
-	time->learned_us = now_us ? now_us : 1;
-	update_lightest(times, now_us);
+	time->sampled_us = now_us ? now_us : 1;
+	update_shortest(times, now_us);
 }
 
 uint64_t dy_service_times_mean(const dy_service_times_t *times,
@@ -79,23 +83,23 @@
 {
 	const dy_service_time_t *time = find(times, procedure);
 
-	if (!time->learned_us)
-		return times->first_estimate_us;
+	if (!time->sampled_us)
+		return times->initial_estimate_us;
 	return time->mean_us ? time->mean_us : 1;
 }
 
-uint64_t dy_service_times_cautious(const dy_service_times_t *times,
-				   uint32_t procedure, uint64_t now_us)
+uint64_t dy_service_times_upper_bound(const dy_service_times_t *times,
+				      uint32_t procedure, uint64_t now_us)
 {
 	const dy_service_time_t *time = find(times, procedure);
 	uint64_t period = US_PER_S;
 	uint64_t halvings;
 
-	if (!time->learned_us)
-		return times->first_estimate_us;
+	if (!time->sampled_us)
+		return times->initial_estimate_us;
 	if (2 * time->mean_us > period)
 		period = 2 * time->mean_us;
-	halvings = (now_us - time->learned_us) / period;
+	halvings = (now_us - time->sampled_us) / period;
 	if (halvings > 63)
 		return 0;
 	return (time->mean_us + time->deviation_us) >> halvings;
@@ -106,8 +110,8 @@
 {
 	const dy_service_time_t *time = find(times, procedure);
 
-	if (!time->learned_us)
-		return times->lightest_us != 0;
-	return time->mean_us >= LONG_LEAST_US && times->lightest_us &&
-	       time->mean_us >= LONG_RATIO * times->lightest_us;
+	if (!time->sampled_us)
+		return times->shortest_us != 0;
+	return time->mean_us >= LONG_MIN_US && times->shortest_us &&
+	       time->mean_us >= LONG_RATIO * times->shortest_us;
 }
--- a/tests/test_admission.c
+++ b/tests/test_admission.c
@@ -24,200 +24,201 @@
 	return fake_target_create(&config);
 }
 
-static fake_call_t *issue_of(fake_target_t *target, uint64_t caller,
-			     uint64_t key)
+static fake_call_t *submit_pull(fake_target_t *target, uint64_t caller,
+				uint64_t key)
 {
 	dy_admission_item_t item = pull;
 
 	item.caller = caller;
 	item.key = key;
-	return fake_issue(target, &item, 10 * FAKE_MS, FAKE_S);
+	return fake_submit(target, &item, 10 * FAKE_MS, FAKE_S);
 }
 
 /*
- * Forty callers pull at the same moment, at a target of four slots. Each gets
- * its answer, though 36 of them find no free slot: none is refused.
+ * 40 callers pull at the same moment from a target with 4 slots. The 36 calls
+ * that find no free slot must be queued and answered, not refused.
  */
-START_TEST(burst_is_answered_whole)
+START_TEST(queues_and_answers_burst)
 {
 	fake_target_t *target = create_target(4, 0);
 	int i;
 
 	for (i = 0; i < 40; i++)
-		issue_of(target, 1 + i, 0);
-	fake_calls_pass(target, FAKE_S);
-	ck_assert_uint_eq(fake_count_good(target, 0), 40);
-	ck_assert_uint_eq(target->most_running, 4);
+		submit_pull(target, 1 + i, 0);
+	fake_advance(target, FAKE_S);
+	ck_assert_uint_eq(fake_count_in_time(target, 0), 40);
+	ck_assert_uint_eq(target->max_running, 4);
 	fake_target_destroy(target);
 }
 END_TEST
 
 /*
- * One station has stored 150 pulls and sends them at once; then another asks
- * for one thing. First come first served would let it wait for 375 ms behind
- * the first one's backlog. It is next in turn.
+ * One caller sends 150 stored pulls at once, then another caller sends one. In
+ * FIFO order the second one would wait 375 ms behind the backlog; with fair
+ * queueing it is next.
  */
-START_TEST(hot_caller_holds_up_itself_only)
+START_TEST(hot_caller_delays_only_itself)
 {
 	fake_target_t *target = create_target(4, 0);
 	fake_call_t *other;
 	int i;
 
 	for (i = 0; i < 150; i++)
-		issue_of(target, 1, 0);
-	other = issue_of(target, 2, 0);
-	fake_calls_pass(target, 2 * FAKE_S);
-	ck_assert_int_eq(other->end, FAKE_ANSWERED);
-	ck_assert_uint_le(other->ended_us - other->issued_us, 30 * FAKE_MS);
+		submit_pull(target, 1, 0);
+	other = submit_pull(target, 2, 0);
+	fake_advance(target, 2 * FAKE_S);
+	ck_assert_int_eq(other->state, FAKE_ANSWERED);
+	ck_assert_uint_le(other->ended_us - other->submitted_us, 30 * FAKE_MS);
 	fake_target_destroy(target);
 }
 END_TEST
 
 /*
- * A newspaper links to one map: 150 callers ask for the same key, each once.
- * A caller of another map would wait behind all of them. So would later a
- * caller of the hot map itself, when it asks for another one.
+ * 150 callers request the same key, once each, as when a newspaper links to one
+ * map. A caller of another key must not wait behind them, and neither must a
+ * caller of the hot key that requests another key afterwards.
  */
-START_TEST(hot_key_holds_up_itself_only)
+START_TEST(hot_key_delays_only_itself)
 {
 	fake_target_t *target = create_target(4, 0);
 	fake_call_t *other, *again;
 	int i;
 
 	for (i = 0; i < 150; i++)
-		issue_of(target, 1 + i, 7);
-	other = issue_of(target, 1000, 8);
-	again = issue_of(target, 100, 9);
-	fake_calls_pass(target, 2 * FAKE_S);
-	ck_assert_int_eq(other->end, FAKE_ANSWERED);
-	ck_assert_uint_le(other->ended_us - other->issued_us, 30 * FAKE_MS);
-	ck_assert_int_eq(again->end, FAKE_ANSWERED);
-	ck_assert_uint_le(again->ended_us - again->issued_us, 40 * FAKE_MS);
+		submit_pull(target, 1 + i, 7);
+	other = submit_pull(target, 1000, 8);
+	again = submit_pull(target, 100, 9);
+	fake_advance(target, 2 * FAKE_S);
+	ck_assert_int_eq(other->state, FAKE_ANSWERED);
+	ck_assert_uint_le(other->ended_us - other->submitted_us, 30 * FAKE_MS);
+	ck_assert_int_eq(again->state, FAKE_ANSWERED);
+	ck_assert_uint_le(again->ended_us - again->submitted_us, 40 * FAKE_MS);
 	fake_target_destroy(target);
 }
 END_TEST
 
 /*
- * One caller has filled the queue. A call of another one must not be refused
- * for that: the last of the first one's loses its place, and is told so at
+ * One caller has filled the queue. The call of another caller must not be
+ * refused for that: the last call of the first caller is evicted and refused at
  * once.
  */
-START_TEST(full_queue_takes_from_the_hot_caller)
+START_TEST(full_queue_evicts_call_of_hot_caller)
 {
 	fake_target_t *target = create_target(1, 8);
 	fake_call_t *other;
 	int i;
 
 	for (i = 0; i < 9; i++)
-		issue_of(target, 1, 0);
-	other = issue_of(target, 2, 0);
-	ck_assert_int_eq(other->end, FAKE_WAITS);
+		submit_pull(target, 1, 0);
+	other = submit_pull(target, 2, 0);
+	ck_assert_int_eq(other->state, FAKE_QUEUED);
 	ck_assert_uint_eq(fake_count(target, 0, FAKE_REFUSED), 1);
-	ck_assert_int_eq(issue_of(target, 1, 0)->refusal.reason,
+	ck_assert_int_eq(submit_pull(target, 1, 0)->refusal.reason,
 			 DY_ADMISSION_FULL);
-	fake_calls_pass(target, FAKE_S);
-	ck_assert_int_eq(other->end, FAKE_ANSWERED);
+	fake_advance(target, FAKE_S);
+	ck_assert_int_eq(other->state, FAKE_ANSWERED);
 	fake_target_destroy(target);
 }
 END_TEST
 
 /*
- * A target that answered in 10 ms suddenly takes 300 ms. Callers that wait
- * for 500 ms must not find their answers late, one after the other: the
- * agent learns, and refuses what would be late without running it.
+ * The service time of a target rises from 10 ms to 300 ms, and callers time out
+ * after 500 ms. Calls must not be answered late one after another: the agent
+ * adapts its estimate and refuses calls that would end late, without running
+ * them.
  */
-START_TEST(slow_target_refuses_rather_than_answers_late)
+START_TEST(slow_target_refuses_calls_that_would_be_late)
 {
 	fake_target_t *target = create_target(4, 0);
 	unsigned from, late;
 	int i;
 
-	fake_teach(target, PULL, 10 * FAKE_MS);
+	fake_train(target, PULL, 10 * FAKE_MS);
 	from = target->calls->len;
 	for (i = 0; i < 300; i++) {
-		fake_issue(target, &pull, 300 * FAKE_MS, 500 * FAKE_MS);
-		fake_calls_pass(target, 10 * FAKE_MS);
+		fake_submit(target, &pull, 300 * FAKE_MS, 500 * FAKE_MS);
+		fake_advance(target, 10 * FAKE_MS);
 	}
-	fake_calls_pass(target, FAKE_S);
+	fake_advance(target, FAKE_S);
 	late = fake_count(target, from, FAKE_ABANDONED);
-	ck_assert_uint_ge(fake_count_good(target, from), 30);
+	ck_assert_uint_ge(fake_count_in_time(target, from), 30);
 	ck_assert_uint_le(late, 8);
 	ck_assert_uint_eq(fake_count(target, from, FAKE_REFUSED),
-			  300 - late - fake_count_good(target, from));
+			  300 - late - fake_count_in_time(target, from));
 	ck_assert_uint_le(fake_longest_refusal_us(target, from), 260 * FAKE_MS);
 	fake_target_destroy(target);
 }
 END_TEST
 
 /*
- * A target stops to answer with all slots taken. Those that wait are refused
- * long before their deadline, with a time to come back; when the target is
- * well again, calls run again though none was learned from meanwhile.
+ * A target stalls with all slots in use. Queued calls must be refused long
+ * before their deadline, with a retry delay. Once the target has recovered
+ * calls must run again, although no sample was added in between.
  */
-START_TEST(stalled_target_holds_no_one_in_the_queue)
+START_TEST(stalled_target_refuses_queued_calls_early)
 {
 	fake_target_t *target = create_target(4, 0);
 	fake_call_t *call;
 	unsigned from;
 	int i;
 
-	fake_teach(target, PULL, 10 * FAKE_MS);
+	fake_train(target, PULL, 10 * FAKE_MS);
 	from = target->calls->len;
 	for (i = 0; i < 40; i++) {
-		fake_issue(target, &pull, FAKE_NEVER, 2 * FAKE_S);
-		fake_calls_pass(target, 50 * FAKE_MS);
+		fake_submit(target, &pull, FAKE_NEVER, 2 * FAKE_S);
+		fake_advance(target, 50 * FAKE_MS);
 	}
-	fake_calls_pass(target, 2 * FAKE_S);
+	fake_advance(target, 2 * FAKE_S);
 	ck_assert_uint_ge(fake_count(target, from, FAKE_REFUSED), 30);
 	ck_assert_uint_le(fake_longest_refusal_us(target, from),
 			  1050 * FAKE_MS);
 	call = g_ptr_array_index(target->calls, from + 20);
 	ck_assert_uint_ge(call->refusal.retry_after_ms, 50);
-	fake_calls_pass(target, 4 * FAKE_S);
-	call = fake_issue(target, &pull, 10 * FAKE_MS, FAKE_S);
-	fake_calls_pass(target, 50 * FAKE_MS);
-	ck_assert_int_eq(call->end, FAKE_ANSWERED);
+	fake_advance(target, 4 * FAKE_S);
+	call = fake_submit(target, &pull, 10 * FAKE_MS, FAKE_S);
+	fake_advance(target, 50 * FAKE_MS);
+	ck_assert_int_eq(call->state, FAKE_ANSWERED);
 	fake_target_destroy(target);
 }
 END_TEST
 
 /*
- * The agent's VM stands still for a minute while calls run and wait. What
- * waited is refused as late. The minute must not be taken for the target's
- * service time: else each new call would be refused for seconds.
+ * The agent's VM is suspended for a minute while calls run and wait. The queued
+ * calls are refused as late. The minute must not count as service time of the
+ * target: every new call would be refused for seconds.
  */
-START_TEST(frozen_vm_is_not_learned_from)
+START_TEST(vm_suspension_adds_no_service_time_sample)
 {
 	fake_target_t *target = create_target(2, 0);
 	fake_call_t *call;
 	unsigned from;
 	int i;
 
-	fake_teach(target, PULL, 10 * FAKE_MS);
+	fake_train(target, PULL, 10 * FAKE_MS);
 	from = target->calls->len;
 	for (i = 0; i < 6; i++)
-		fake_issue(target, &pull, 10 * FAKE_MS, FAKE_S);
+		fake_submit(target, &pull, 10 * FAKE_MS, FAKE_S);
 	target->now_us += 60 * FAKE_S;
-	fake_calls_pass(target, FAKE_MS);
+	fake_advance(target, FAKE_MS);
 	ck_assert_uint_eq(fake_count(target, from, FAKE_REFUSED), 4);
-	call = fake_issue(target, &pull, 10 * FAKE_MS, FAKE_S);
-	ck_assert_int_eq(call->end, FAKE_RUNS);
-	fake_calls_pass(target, 20 * FAKE_MS);
-	ck_assert_int_eq(call->end, FAKE_ANSWERED);
+	call = fake_submit(target, &pull, 10 * FAKE_MS, FAKE_S);
+	ck_assert_int_eq(call->state, FAKE_RUNNING);
+	fake_advance(target, 20 * FAKE_MS);
+	ck_assert_int_eq(call->state, FAKE_ANSWERED);
 	fake_target_destroy(target);
 }
 END_TEST
 
 /*
- * The clock goes back half a second while a call runs. Its service time would
- * come out as less than nothing, that is, as centuries, and each later call
- * would be refused as one that cannot end in time.
+ * The clock goes back by half a second while a call runs. A negative service
+ * time would wrap to centuries, and each later call would be refused because it
+ * cannot end in time.
  */
-START_TEST(clock_that_goes_back_stands_still)
+START_TEST(ignores_clock_that_goes_back)
 {
 	fake_target_t *target = create_target(1, 0);
-	fake_call_t *first = issue_of(target, 1, 0);
-	fake_call_t *second = issue_of(target, 2, 0);
+	fake_call_t *first = submit_pull(target, 1, 0);
+	fake_call_t *second = submit_pull(target, 2, 0);
 
 	target->now_us -= 500 * FAKE_MS;
 	dy_admission_finish(target->admission, &first->item,
@@ -226,40 +227,40 @@
 			 &second->item);
 	dy_admission_finish(target->admission, &second->item,
 			    DY_ADMISSION_ANSWERED, target->now_us);
-	ck_assert_int_eq(issue_of(target, 3, 0)->end, FAKE_RUNS);
+	ck_assert_int_eq(submit_pull(target, 3, 0)->state, FAKE_RUNNING);
 	fake_target_destroy(target);
 }
 END_TEST
 
 /*
- * Print files take half a second, lists 10 ms. Twenty print files are asked
- * for, then lists: each list would wait for a print file to end. Slots stay
- * open for them.
+ * Long calls take 500 ms, short ones 10 ms. 20 long calls arrive, then short
+ * calls. Without reserved slots each short call would wait for a long one to
+ * end.
  */
-START_TEST(short_calls_pass_long_ones)
+START_TEST(short_calls_overtake_long_calls)
 {
 	fake_target_t *target = create_target(4, 0);
 	unsigned from;
 	int i;
 
-	fake_teach(target, PULL, 10 * FAKE_MS);
-	fake_teach(target, LONG_PULL, 500 * FAKE_MS);
-	issue_of(target, 1, 0);
+	fake_train(target, PULL, 10 * FAKE_MS);
+	fake_train(target, LONG_PULL, 500 * FAKE_MS);
+	submit_pull(target, 1, 0);
 	for (i = 0; i < 20; i++)
-		fake_issue(target, &long_pull, 500 * FAKE_MS, 20 * FAKE_S);
+		fake_submit(target, &long_pull, 500 * FAKE_MS, 20 * FAKE_S);
 	from = target->calls->len;
 	for (i = 0; i < 50; i++) {
-		fake_issue(target, &pull, 10 * FAKE_MS, 100 * FAKE_MS);
-		fake_calls_pass(target, 20 * FAKE_MS);
+		fake_submit(target, &pull, 10 * FAKE_MS, 100 * FAKE_MS);
+		fake_advance(target, 20 * FAKE_MS);
 	}
-	ck_assert_uint_eq(fake_count_good(target, from), 50);
-	fake_calls_pass(target, 20 * FAKE_S);
-	ck_assert_uint_eq(fake_count_good(target, from - 20), 70);
+	ck_assert_uint_eq(fake_count_in_time(target, from), 50);
+	fake_advance(target, 20 * FAKE_S);
+	ck_assert_uint_eq(fake_count_in_time(target, from - 20), 70);
 	fake_target_destroy(target);
 }
 END_TEST
 
-/* Offer `load` times what four slots can do for three seconds. */
+/* Submits `load` times the capacity of four slots for three seconds. */
 static void offer(fake_target_t *target, const dy_admission_item_t *template,
 		  unsigned load)
 {
@@ -267,35 +268,35 @@
 
 	for (ms = 0; ms < 3000; ms += 5) {
 		for (i = 0; i < 2 * load; i++)
-			fake_issue(target, template, 10 * FAKE_MS, FAKE_S);
-		fake_calls_pass(target, 5 * FAKE_MS);
+			fake_submit(target, template, 10 * FAKE_MS, FAKE_S);
+		fake_advance(target, 5 * FAKE_MS);
 	}
-	fake_calls_pass(target, FAKE_S);
+	fake_advance(target, FAKE_S);
 }
 
 /*
- * Twice or five times as many pulls come as the target can serve, for
- * seconds. First come first served would soon answer each one late. As many
- * as fit are answered in time, and the others are told well before. When it
- * lasts, those that are answered don't wait in a long queue any more.
+ * Pulls arrive at two or five times the capacity of the target, for seconds. In
+ * FIFO order every call would soon be answered late. As many calls as fit must
+ * be answered in time and the others refused well before their deadline. During
+ * a lasting overload the answered calls must not wait in a long queue.
  */
-START_TEST(overload_answers_what_fits)
+START_TEST(overload_answers_calls_up_to_capacity)
 {
 	fake_target_t *target = create_target(4, 0);
 	fake_call_t *call;
 	guint i;
 
 	offer(target, &pull, _i);
-	ck_assert_uint_ge(fake_count_good(target, 0), 1100);
+	ck_assert_uint_ge(fake_count_in_time(target, 0), 1100);
 	ck_assert_uint_eq(fake_count(target, 0, FAKE_ABANDONED), 0);
-	ck_assert_uint_eq(fake_count_good(target, 0) +
+	ck_assert_uint_eq(fake_count_in_time(target, 0) +
 				  fake_count(target, 0, FAKE_REFUSED),
 			  target->calls->len);
 	ck_assert_uint_le(fake_longest_refusal_us(target, 0), 520 * FAKE_MS);
 	for (i = target->calls->len * 2 / 3; i < target->calls->len; i++) {
 		call = g_ptr_array_index(target->calls, i);
-		if (call->end == FAKE_ANSWERED)
-			ck_assert_uint_le(call->ended_us - call->issued_us,
+		if (call->state == FAKE_ANSWERED)
+			ck_assert_uint_le(call->ended_us - call->submitted_us,
 					  200 * FAKE_MS);
 	}
 	fake_target_destroy(target);
@@ -303,59 +304,59 @@
 END_TEST
 
 /*
- * Tourists pull maps at three times what the target can do, while stations
- * send readings at a sixth. Or the stations catch up with a night at three
- * times, and the town halls pull at a twelfth, within the tenth that pulls are
- * sure of. Neither may starve the other.
+ * Pulls arrive at three times the capacity while submissions arrive at a sixth
+ * of it; or submissions at three times the capacity, as when stations catch up
+ * on a night, while pulls arrive at a twelfth, within the tenth that is
+ * reserved for pulls. Neither may starve the other.
  */
-START_TEST(neither_kind_starves_the_other)
+START_TEST(pulls_and_submissions_do_not_starve_each_other)
 {
 	fake_target_t *target = create_target(4, 0);
-	const dy_admission_item_t *crowd = _i ? &submission : &pull;
-	const dy_admission_item_t *few = _i ? &pull : &submission;
+	const dy_admission_item_t *frequent = _i ? &submission : &pull;
+	const dy_admission_item_t *rare = _i ? &pull : &submission;
 	unsigned every_ms = _i ? 30 : 15;
 	unsigned good = 0, n = 0, ms, i;
 	fake_call_t *calls[300];
 
 	for (ms = 0; ms < 3000; ms += 5) {
 		for (i = 0; i < 6; i++)
-			fake_issue(target, crowd, 10 * FAKE_MS, FAKE_S);
+			fake_submit(target, frequent, 10 * FAKE_MS, FAKE_S);
 		if (ms % every_ms == 0)
 			calls[n++] =
-				fake_issue(target, few, 10 * FAKE_MS, FAKE_S);
-		fake_calls_pass(target, 5 * FAKE_MS);
+				fake_submit(target, rare, 10 * FAKE_MS, FAKE_S);
+		fake_advance(target, 5 * FAKE_MS);
 	}
-	fake_calls_pass(target, FAKE_S);
+	fake_advance(target, FAKE_S);
 	for (i = 0; i < n; i++)
-		good += calls[i]->end == FAKE_ANSWERED;
+		good += calls[i]->state == FAKE_ANSWERED;
 	ck_assert_uint_eq(n, 3000 / every_ms);
 	ck_assert_uint_ge(good, n * 97 / 100);
-	ck_assert_uint_ge(fake_count_good(target, 0), 1100);
+	ck_assert_uint_ge(fake_count_in_time(target, 0), 1100);
 	fake_target_destroy(target);
 }
 END_TEST
 
 /*
- * The target sheds load: it had four slots and now takes one call at a time.
- * The three that run beyond it are not cut, and none starts before they end.
+ * The target reduces its slots from four to one. The three calls that run
+ * beyond that are not aborted, and no call starts before they end.
  */
-START_TEST(fewer_slots_cut_nothing)
+START_TEST(slot_reduction_aborts_no_running_call)
 {
 	fake_target_t *target = create_target(4, 0);
 	dy_admission_load_t load;
 	int i;
 
 	for (i = 0; i < 10; i++)
-		issue_of(target, 1 + i, 0);
+		submit_pull(target, 1 + i, 0);
 	dy_admission_set_slots(target->admission, 1);
-	fake_calls_pass(target, 10 * FAKE_MS);
+	fake_advance(target, 10 * FAKE_MS);
 	ck_assert_uint_eq(target->running, 1);
-	target->most_running = 0;
-	fake_calls_pass(target, FAKE_S);
-	ck_assert_uint_eq(fake_count_good(target, 0), 10);
-	ck_assert_uint_le(target->most_running, 1);
+	target->max_running = 0;
+	fake_advance(target, FAKE_S);
+	ck_assert_uint_eq(fake_count_in_time(target, 0), 10);
+	ck_assert_uint_le(target->max_running, 1);
 	dy_admission_set_slots(target->admission, 0);
-	ck_assert_int_eq(issue_of(target, 1, 0)->end, FAKE_REFUSED);
+	ck_assert_int_eq(submit_pull(target, 1, 0)->state, FAKE_REFUSED);
 	dy_admission_load(target->admission, target->now_us, &load);
 	ck_assert_uint_eq(load.expected_wait_us, 3600 * FAKE_S);
 	fake_target_destroy(target);
@@ -365,15 +366,15 @@
 START_TEST(cancelled_call_never_runs)
 {
 	fake_target_t *target = create_target(1, 0);
-	fake_call_t *first = issue_of(target, 1, 0);
-	fake_call_t *second = issue_of(target, 2, 0);
+	fake_call_t *first = submit_pull(target, 1, 0);
+	fake_call_t *second = submit_pull(target, 2, 0);
 	dy_admission_load_t load;
 
 	ck_assert(!dy_admission_cancel(target->admission, &first->item));
 	ck_assert(dy_admission_cancel(target->admission, &second->item));
 	ck_assert(!dy_admission_cancel(target->admission, &second->item));
-	fake_calls_pass(target, 100 * FAKE_MS);
-	ck_assert_int_eq(second->end, FAKE_WAITS);
+	fake_advance(target, 100 * FAKE_MS);
+	ck_assert_int_eq(second->state, FAKE_QUEUED);
 	dy_admission_load(target->admission, target->now_us, &load);
 	ck_assert_uint_eq(load.in_flight + load.queued, 0);
 	fake_target_destroy(target);
@@ -381,11 +382,11 @@
 END_TEST
 
 /*
- * Five hundred callers are refused within a moment. Told the same time, they
- * would all be back together and be refused again; they are spread over as
- * long as their calls take.
+ * Some 500 callers are refused within a moment. With the same retry delay all
+ * would return together and be refused again; the delays must be spread over
+ * the time that their calls take.
  */
-START_TEST(refused_crowd_comes_back_spread)
+START_TEST(spreads_retries_of_refused_callers)
 {
 	fake_target_t *target = create_target(4, 0);
 	unsigned in_100_ms[320] = { 0 };
@@ -393,12 +394,12 @@
 	fake_call_t *call;
 	guint i;
 
-	fake_teach(target, PULL, 10 * FAKE_MS);
+	fake_train(target, PULL, 10 * FAKE_MS);
 	for (i = 0; i < 700; i++)
-		issue_of(target, 1 + i, 0);
+		submit_pull(target, 1 + i, 0);
 	for (i = 20; i < target->calls->len; i++) {
 		call = g_ptr_array_index(target->calls, i);
-		if (call->end != FAKE_REFUSED)
+		if (call->state != FAKE_REFUSED)
 			continue;
 		refused++;
 		in_100_ms[call->refusal.retry_after_ms / 100]++;
@@ -418,21 +419,22 @@
 	SRunner *runner;
 	int failures;
 
-	tcase_add_test(tcase, burst_is_answered_whole);
-	tcase_add_test(tcase, hot_caller_holds_up_itself_only);
-	tcase_add_test(tcase, hot_key_holds_up_itself_only);
-	tcase_add_test(tcase, full_queue_takes_from_the_hot_caller);
-	tcase_add_test(tcase, slow_target_refuses_rather_than_answers_late);
-	tcase_add_test(tcase, stalled_target_holds_no_one_in_the_queue);
-	tcase_add_test(tcase, frozen_vm_is_not_learned_from);
-	tcase_add_test(tcase, clock_that_goes_back_stands_still);
-	tcase_add_test(tcase, short_calls_pass_long_ones);
-	tcase_add_loop_test(tcase, overload_answers_what_fits, 2, 3);
-	tcase_add_loop_test(tcase, overload_answers_what_fits, 5, 6);
-	tcase_add_loop_test(tcase, neither_kind_starves_the_other, 0, 2);
-	tcase_add_test(tcase, fewer_slots_cut_nothing);
+	tcase_add_test(tcase, queues_and_answers_burst);
+	tcase_add_test(tcase, hot_caller_delays_only_itself);
+	tcase_add_test(tcase, hot_key_delays_only_itself);
+	tcase_add_test(tcase, full_queue_evicts_call_of_hot_caller);
+	tcase_add_test(tcase, slow_target_refuses_calls_that_would_be_late);
+	tcase_add_test(tcase, stalled_target_refuses_queued_calls_early);
+	tcase_add_test(tcase, vm_suspension_adds_no_service_time_sample);
+	tcase_add_test(tcase, ignores_clock_that_goes_back);
+	tcase_add_test(tcase, short_calls_overtake_long_calls);
+	tcase_add_loop_test(tcase, overload_answers_calls_up_to_capacity, 2, 3);
+	tcase_add_loop_test(tcase, overload_answers_calls_up_to_capacity, 5, 6);
+	tcase_add_loop_test(
+		tcase, pulls_and_submissions_do_not_starve_each_other, 0, 2);
+	tcase_add_test(tcase, slot_reduction_aborts_no_running_call);
 	tcase_add_test(tcase, cancelled_call_never_runs);
-	tcase_add_test(tcase, refused_crowd_comes_back_spread);
+	tcase_add_test(tcase, spreads_retries_of_refused_callers);
 	tcase_set_timeout(tcase, 60);
 	suite_add_tcase(suite, tcase);
 	runner = srunner_create(suite);
