--- a/src/request/drc.c
+++ b/src/request/drc.c
@@ -13,11 +13,11 @@
 	ENTRY_ENDED
 } entry_kind_t;
 
-/* The calls first..last; sorted by first, without overlap. */
+/* The calls first..last; entries are sorted by first and do not overlap. */
 typedef struct entry {
 	uint32_t first;
 	uint32_t last;
-	uint64_t ended_ms; /* of the latest */
+	uint64_t ended_ms; /* of the latest call */
 	uint8_t kind;
 	uint8_t verdict;
 	uint8_t reason;
@@ -33,7 +33,7 @@
 struct dy_drc {
 	entry_t *entries;
 	unsigned count;
-	unsigned room;
+	unsigned capacity;
 	answer_t answers[DY_DRC_ANSWERS]; /* oldest first */
 	unsigned answer_count;
 	size_t answer_bytes;
@@ -56,7 +56,7 @@
 	g_free(drc);
 }
 
-/* Returns the number of entries that begin at or before xid. */
+/* Returns the number of entries with first <= xid. */
 static unsigned count_up_to(const dy_drc_t *drc, uint32_t xid)
 {
 	unsigned low = 0;
@@ -92,7 +92,7 @@
 	return NULL;
 }
 
-/* A call that ran and whose answer is gone is told of as a duplicate. */
+/* A call that ran and whose answer was evicted is reported as a duplicate. */
 static void fill_ended(const entry_t *entry, dy_drc_found_t *found)
 {
 	found->state = DY_DRC_ENDED;
@@ -135,9 +135,9 @@
 
 static entry_t *insert_entry(dy_drc_t *drc, unsigned at)
 {
-	if (drc->count == drc->room) {
-		drc->room = drc->room ? 2 * drc->room : 2;
-		drc->entries = g_renew(entry_t, drc->entries, drc->room);
+	if (drc->count == drc->capacity) {
+		drc->capacity = drc->capacity ? 2 * drc->capacity : 2;
+		drc->entries = g_renew(entry_t, drc->entries, drc->capacity);
 	}
 	memmove(&drc->entries[at + 1], &drc->entries[at],
 		(drc->count - at) * sizeof(entry_t));
@@ -146,7 +146,7 @@
 	return &drc->entries[at];
 }
 
-static uint32_t until_oldest_ends(const dy_drc_t *drc, uint64_t now_ms)
+static uint32_t ms_until_oldest_expires(const dy_drc_t *drc, uint64_t now_ms)
 {
 	uint64_t oldest_ms = now_ms;
 	unsigned i;
@@ -171,7 +171,7 @@
 		return DY_DRC_OVERFLOW;
 	full = drc->count >= DY_DRC_ENTRIES;
 	if (full)
-		*retry_after_ms = until_oldest_ends(drc, now_ms);
+		*retry_after_ms = ms_until_oldest_expires(drc, now_ms);
 	entry = insert_entry(drc, count_up_to(drc, xid));
 	entry->first = xid;
 	entry->last = xid;
@@ -187,20 +187,23 @@
 	entry->kind = ENTRY_STARTED;
 }
 
-static int is_same_end(const entry_t *a, const entry_t *b)
+static int can_merge(const entry_t *a, const entry_t *b)
 {
 	return a->kind == ENTRY_ENDED && b->kind == ENTRY_ENDED &&
 	       a->verdict == b->verdict && a->reason == b->reason &&
 	       a->last != UINT32_MAX && a->last + 1 == b->first;
 }
 
-/* Join the entry at `at` with the one behind it where they are alike. */
-static void join_entries(dy_drc_t *drc, unsigned at)
+/*
+ * Merges the entry at `at` with the next one if both have the same outcome and
+ * are adjacent.
+ */
+static void merge_entries(dy_drc_t *drc, unsigned at)
 {
 	entry_t *a = &drc->entries[at];
 	const entry_t *b = a + 1;
 
-	if (at + 1 >= drc->count || !is_same_end(a, b))
+	if (at + 1 >= drc->count || !can_merge(a, b))
 		return;
 	a->last = b->last;
 	if (b->ended_ms > a->ended_ms)
@@ -220,9 +223,9 @@
 	entry->verdict = (uint8_t)verdict;
 	entry->reason = (uint8_t)reason;
 	entry->ended_ms = now_ms;
-	join_entries(drc, at);
+	merge_entries(drc, at);
 	if (at)
-		join_entries(drc, at - 1);
+		merge_entries(drc, at - 1);
 }
 
 static void drop_oldest_answer(dy_drc_t *drc)
@@ -234,8 +237,8 @@
 		drc->answer_count * sizeof(answer_t));
 }
 
-static void keep_answer(dy_drc_t *drc, uint32_t xid, uint32_t status,
-			const uint8_t *results, size_t len)
+static void store_answer(dy_drc_t *drc, uint32_t xid, uint32_t status,
+			 const uint8_t *results, size_t len)
 {
 	answer_t *answer;
 
@@ -255,7 +258,7 @@
 		   const uint8_t *results, size_t len, uint64_t now_ms)
 {
 	end_entry(drc, xid, DY_RAN, DY_REASON_NONE, now_ms);
-	keep_answer(drc, xid, status, results, len);
+	store_answer(drc, xid, status, results, len);
 }
 
 void dy_drc_refuse(dy_drc_t *drc, uint32_t xid, const dy_refusal_t *refusal,
@@ -366,9 +369,9 @@
 		entry = find_entry(drc, answer->xid);
 		if (!entry || entry->verdict != DY_RAN)
 			return -1;
-		keep_answer(drc, answer->xid, answer->status,
-			    (const uint8_t *)answer->results.results_val,
-			    answer->results.results_len);
+		store_answer(drc, answer->xid, answer->status,
+			     (const uint8_t *)answer->results.results_val,
+			     answer->results.results_len);
 	}
 	return 0;
 }
--- a/src/request/poll_queue.c
+++ b/src/request/poll_queue.c
@@ -7,30 +7,30 @@
 
 #include "damaskyard/list.h"
 
-/* A sender that waits, or is being answered, or both. */
-typedef struct place {
+/* A sender with a queued poll, with a poll being answered, or both. */
+typedef struct sender {
 	dy_address_t from;
-	dy_list_t link; /* in its kind's line, if bytes are set */
-	uint64_t arrived_ms;
+	dy_list_t link; /* in balancers or agents, if bytes is set */
+	uint64_t received_ms;
 	uint32_t xid;
 	uint32_t answering_xid;
 	int answering;
 	uint8_t *bytes;
 	size_t len;
-} place_t;
+} sender_t;
 
 struct dy_poll_queue {
-	GHashTable *places; /* by sender */
+	GHashTable *senders; /* by address */
 	dy_list_t balancers;
 	dy_list_t agents;
 	unsigned count;
-	size_t bytes;	/* of all that wait */
-	unsigned burst; /* balancers taken since an agent was */
-	uint64_t aged;
-	uint64_t busy_ms; /* since when polls wait */
-	unsigned taken;	  /* since then */
-	uint64_t cost_us; /* of a poll; 0: not seen yet */
-	uint64_t cost_ms; /* when it was seen */
+	size_t bytes;		   /* of all queued polls */
+	unsigned balancers_in_row; /* balancers dequeued since the last agent */
+	uint64_t expired;
+	uint64_t busy_since_ms;	  /* start of the busy period */
+	unsigned dequeued;	  /* polls dequeued since then */
+	uint64_t cost_us;	  /* cost of a poll; 0: no sample yet */
+	uint64_t cost_sampled_ms; /* time of the last sample */
 };
 
 static guint hash_address(gconstpointer key)
@@ -43,20 +43,20 @@
 	return dy_address_equal(a, b);
 }
 
-static void free_place(void *data)
+static void free_sender(void *data)
 {
-	place_t *place = data;
+	sender_t *sender = data;
 
-	g_free(place->bytes);
-	g_free(place);
+	g_free(sender->bytes);
+	g_free(sender);
 }
 
 dy_poll_queue_t *dy_poll_queue_create(void)
 {
 	dy_poll_queue_t *queue = g_new0(dy_poll_queue_t, 1);
 
-	queue->places = g_hash_table_new_full(hash_address, equal_address, NULL,
-					      free_place);
+	queue->senders = g_hash_table_new_full(hash_address, equal_address,
+					       NULL, free_sender);
 	dy_list_init(&queue->balancers);
 	dy_list_init(&queue->agents);
 	return queue;
@@ -66,55 +66,55 @@
 {
 	if (!queue)
 		return;
-	g_hash_table_destroy(queue->places);
+	g_hash_table_destroy(queue->senders);
 	g_free(queue);
 }
 
-static place_t *keep_place(dy_poll_queue_t *queue, const dy_address_t *from)
+static sender_t *get_sender(dy_poll_queue_t *queue, const dy_address_t *from)
 {
-	place_t *place = g_hash_table_lookup(queue->places, from);
+	sender_t *sender = g_hash_table_lookup(queue->senders, from);
 
-	if (place)
-		return place;
-	if (g_hash_table_size(queue->places) >= DY_POLL_QUEUE_MAX_SENDERS)
+	if (sender)
+		return sender;
+	if (g_hash_table_size(queue->senders) >= DY_POLL_QUEUE_MAX_SENDERS)
 		return NULL;
-	place = g_new0(place_t, 1);
-	place->from = *from;
-	dy_list_init(&place->link);
-	g_hash_table_insert(queue->places, &place->from, place);
-	return place;
+	sender = g_new0(sender_t, 1);
+	sender->from = *from;
+	dy_list_init(&sender->link);
+	g_hash_table_insert(queue->senders, &sender->from, sender);
+	return sender;
 }
 
-static void leave_line(dy_poll_queue_t *queue, place_t *place)
+static void unlink_sender(dy_poll_queue_t *queue, sender_t *sender)
 {
-	dy_list_remove(&place->link);
-	queue->bytes -= place->len;
-	place->bytes = NULL;
-	place->len = 0;
+	dy_list_remove(&sender->link);
+	queue->bytes -= sender->len;
+	sender->bytes = NULL;
+	sender->len = 0;
 	queue->count--;
 }
 
-static void drop_if_idle(dy_poll_queue_t *queue, place_t *place)
+static void remove_if_idle(dy_poll_queue_t *queue, sender_t *sender)
 {
-	if (!place->bytes && !place->answering)
-		g_hash_table_remove(queue->places, &place->from);
+	if (!sender->bytes && !sender->answering)
+		g_hash_table_remove(queue->senders, &sender->from);
 }
 
-static int has_room(const dy_poll_queue_t *queue, size_t len)
+static int fits(const dy_poll_queue_t *queue, size_t len)
 {
 	return len <= DY_POLL_QUEUE_MAX_POLL_BYTES &&
 	       queue->bytes + len <= DY_POLL_QUEUE_MAX_BYTES;
 }
 
-static void join_line(dy_poll_queue_t *queue, place_t *place, int is_balancer,
-		      uint64_t now_ms)
+static void link_sender(dy_poll_queue_t *queue, sender_t *sender,
+			int is_balancer, uint64_t now_ms)
 {
 	if (!queue->count) {
-		queue->busy_ms = now_ms;
-		queue->taken = 0;
+		queue->busy_since_ms = now_ms;
+		queue->dequeued = 0;
 	}
 	dy_list_append(is_balancer ? &queue->balancers : &queue->agents,
-		       &place->link);
+		       &sender->link);
 	queue->count++;
 }
 
@@ -124,67 +124,70 @@
 					     const uint8_t *bytes, size_t len,
 					     uint64_t now_ms)
 {
-	place_t *place = has_room(queue, len) ? keep_place(queue, from) : NULL;
+	sender_t *sender = fits(queue, len) ? get_sender(queue, from) : NULL;
 	dy_poll_queue_result_t result = DY_POLL_REPLACED;
 
-	if (!place)
+	if (!sender)
 		return DY_POLL_FULL;
-	if (place->answering && place->answering_xid == xid)
+	if (sender->answering && sender->answering_xid == xid)
 		return DY_POLL_DUPLICATE;
-	if (!place->bytes) {
-		join_line(queue, place, is_balancer, now_ms);
+	if (!sender->bytes) {
+		link_sender(queue, sender, is_balancer, now_ms);
 		result = DY_POLL_QUEUED;
 	}
-	g_free(place->bytes);
-	place->bytes = g_memdup2(bytes, len);
-	queue->bytes += len - place->len;
-	place->len = len;
-	place->xid = xid;
-	place->arrived_ms = now_ms;
+	g_free(sender->bytes);
+	sender->bytes = g_memdup2(bytes, len);
+	queue->bytes += len - sender->len;
+	sender->len = len;
+	sender->xid = xid;
+	sender->received_ms = now_ms;
 	return result;
 }
 
-static place_t *first_of(dy_list_t *line)
+static sender_t *first_of(dy_list_t *list)
 {
-	return dy_list_empty(line) ? NULL
-				   : DY_LIST_ITEM(line->next, place_t, link);
+	return dy_list_empty(list) ? NULL
+				   : DY_LIST_ITEM(list->next, sender_t, link);
 }
 
-static place_t *choose(dy_poll_queue_t *queue)
+static sender_t *choose_next(dy_poll_queue_t *queue)
 {
-	place_t *balancer = first_of(&queue->balancers);
-	place_t *agent = first_of(&queue->agents);
+	sender_t *balancer = first_of(&queue->balancers);
+	sender_t *agent = first_of(&queue->agents);
 
 	if (balancer && agent &&
-	    queue->burst + 1 < DY_POLL_QUEUE_AGENT_INTERVAL) {
-		queue->burst++;
+	    queue->balancers_in_row + 1 < DY_POLL_QUEUE_AGENT_INTERVAL) {
+		queue->balancers_in_row++;
 		return balancer;
 	}
-	queue->burst = 0;
+	queue->balancers_in_row = 0;
 	return agent ? agent : balancer;
 }
 
-/* Polls are taken as fast as the owner can: so long lasts one. */
-static void note_cost(dy_poll_queue_t *queue, uint64_t now_ms)
+/*
+ * Updates the cost of a poll. In a busy period the owner dequeues as fast as it
+ * can, so the cost is the mean time between two polls.
+ */
+static void update_cost(dy_poll_queue_t *queue, uint64_t now_ms)
 {
-	uint64_t seen_us;
+	uint64_t sample_us;
 
-	if (queue->taken < DY_POLL_QUEUE_MIN_SAMPLES)
+	if (queue->dequeued < DY_POLL_QUEUE_MIN_SAMPLES)
 		return;
-	seen_us = (now_ms - queue->busy_ms) * 1000 / queue->taken;
+	sample_us = (now_ms - queue->busy_since_ms) * 1000 / queue->dequeued;
 	queue->cost_us =
-		queue->cost_us ? (queue->cost_us + seen_us) / 2 : seen_us;
-	queue->cost_ms = now_ms;
-	queue->busy_ms = now_ms;
-	queue->taken = 0;
+		queue->cost_us ? (queue->cost_us + sample_us) / 2 : sample_us;
+	queue->cost_sampled_ms = now_ms;
+	queue->busy_since_ms = now_ms;
+	queue->dequeued = 0;
 }
 
 uint64_t dy_poll_queue_interval_ms(const dy_poll_queue_t *queue,
 				   unsigned members, uint64_t now_ms)
 {
-	uint64_t halves =
-		(now_ms - queue->cost_ms) / DY_POLL_QUEUE_COST_HALF_LIFE_MS;
-	uint64_t cost_us = halves < 32 ? queue->cost_us >> halves : 0;
+	uint64_t half_lives = (now_ms - queue->cost_sampled_ms) /
+			      DY_POLL_QUEUE_COST_HALF_LIFE_MS;
+	uint64_t cost_us = half_lives < 32 ? queue->cost_us >> half_lives : 0;
 
 	return members * cost_us / (10 * DY_POLL_QUEUE_CPU_PERCENT);
 }
@@ -192,39 +195,39 @@
 int dy_poll_queue_dequeue(dy_poll_queue_t *queue, uint64_t now_ms,
 			  dy_queued_poll_t *poll)
 {
-	place_t *place;
+	sender_t *sender;
 
-	while ((place = choose(queue))) {
-		poll->bytes = place->bytes;
-		poll->len = place->len;
-		leave_line(queue, place);
-		if (now_ms - place->arrived_ms < DY_POLL_QUEUE_TIMEOUT_MS)
+	while ((sender = choose_next(queue))) {
+		poll->bytes = sender->bytes;
+		poll->len = sender->len;
+		unlink_sender(queue, sender);
+		if (now_ms - sender->received_ms < DY_POLL_QUEUE_TIMEOUT_MS)
 			break;
-		queue->aged++;
+		queue->expired++;
 		g_free(poll->bytes);
-		drop_if_idle(queue, place);
+		remove_if_idle(queue, sender);
 	}
-	if (!place)
+	if (!sender)
 		return 0;
-	poll->from = place->from;
-	poll->xid = place->xid;
-	place->answering = 1;
-	place->answering_xid = place->xid;
-	if (!queue->count || queue->taken >= 16 * DY_POLL_QUEUE_MIN_SAMPLES)
-		note_cost(queue, now_ms);
-	queue->taken++;
+	poll->from = sender->from;
+	poll->xid = sender->xid;
+	sender->answering = 1;
+	sender->answering_xid = sender->xid;
+	if (!queue->count || queue->dequeued >= 16 * DY_POLL_QUEUE_MIN_SAMPLES)
+		update_cost(queue, now_ms);
+	queue->dequeued++;
 	return 1;
 }
 
 void dy_poll_queue_complete(dy_poll_queue_t *queue, const dy_address_t *from,
 			    uint32_t xid)
 {
-	place_t *place = g_hash_table_lookup(queue->places, from);
+	sender_t *sender = g_hash_table_lookup(queue->senders, from);
 
-	if (!place || !place->answering || place->answering_xid != xid)
+	if (!sender || !sender->answering || sender->answering_xid != xid)
 		return;
-	place->answering = 0;
-	drop_if_idle(queue, place);
+	sender->answering = 0;
+	remove_if_idle(queue, sender);
 }
 
 unsigned dy_poll_queue_count(const dy_poll_queue_t *queue)
@@ -234,5 +237,5 @@
 
 uint64_t dy_poll_queue_expired(const dy_poll_queue_t *queue)
 {
-	return queue->aged;
+	return queue->expired;
 }
--- a/tests/test_drc.c
+++ b/tests/test_drc.c
@@ -17,7 +17,7 @@
 	dy_drc_answer(drc, xid, SUCCESS, word, sizeof(word), now_ms);
 }
 
-START_TEST(answer_is_kept_whole_then_as_verdict)
+START_TEST(keeps_latest_answers_and_older_verdicts)
 {
 	dy_drc_t *drc = dy_drc_create();
 	dy_drc_found_t found;
@@ -36,11 +36,11 @@
 END_TEST
 
 /*
- * A reading is refused while the target is full. The station is told so and
- * sends it anew; the first datagram, which the network held back, arrives
- * afterwards. It must not run: the refusal is kept like a run.
+ * A reading is refused because the target is full, and the caller sends it as
+ * a new call. Then a duplicate of the first datagram, delayed by the network,
+ * arrives. It must not run: a refusal is kept like a run.
  */
-START_TEST(refused_call_stays_refused)
+START_TEST(refuses_duplicate_of_refused_call)
 {
 	dy_refusal_t refusal = { DY_NOT_RUN, DY_REASON_OVERLOAD, 500 };
 	dy_drc_t *drc = dy_drc_create();
@@ -60,8 +60,8 @@
 }
 END_TEST
 
-/* A station streams all night with an ordinary client. */
-START_TEST(consecutive_calls_share_an_entry)
+/* A caller makes 100,000 calls with consecutive xids. */
+START_TEST(consecutive_calls_share_one_entry)
 {
 	dy_drc_t *drc = dy_drc_create();
 	dy_drc_found_t found;
@@ -79,12 +79,12 @@
 END_TEST
 
 /*
- * A caller takes its xids at random and calls without a pause. Unbounded,
- * its entries would take the agent's memory; dropped early, a late copy
- * would run. New calls are refused, and recorded, so that their own copies
- * do not run either; beyond that they are dropped unanswered.
+ * A caller uses random xids and calls without a pause. An unbounded cache would
+ * exhaust the agent's memory; if entries were dropped early, a late duplicate
+ * would run. New calls must be refused and recorded, so that their duplicates
+ * do not run either; above the limit they are dropped without an answer.
  */
-START_TEST(full_cache_refuses_and_remembers)
+START_TEST(full_cache_refuses_and_records_calls)
 {
 	dy_refusal_t refusal = { DY_NOT_RUN, DY_REASON_SESSION_LIMIT, 1 };
 	dy_drc_t *drc = dy_drc_create();
@@ -111,7 +111,7 @@
 }
 END_TEST
 
-/* The guard itself: a second start of the same xid ends the process. */
+/* A second start of the same xid must abort the process. */
 START_TEST(second_start_aborts)
 {
 	dy_drc_t *drc = dy_drc_create();
@@ -123,7 +123,7 @@
 }
 END_TEST
 
-START_TEST(moves_whole_and_refuses_malformed)
+START_TEST(loads_written_cache_and_rejects_malformed)
 {
 	dy_drc_t *drc = dy_drc_create();
 	dy_moved_body_t body = { 0 };
@@ -158,12 +158,12 @@
 	int failures;
 
 	suite_add_tcase(suite, tcase);
-	tcase_add_test(tcase, answer_is_kept_whole_then_as_verdict);
-	tcase_add_test(tcase, refused_call_stays_refused);
-	tcase_add_test(tcase, consecutive_calls_share_an_entry);
-	tcase_add_test(tcase, full_cache_refuses_and_remembers);
+	tcase_add_test(tcase, keeps_latest_answers_and_older_verdicts);
+	tcase_add_test(tcase, refuses_duplicate_of_refused_call);
+	tcase_add_test(tcase, consecutive_calls_share_one_entry);
+	tcase_add_test(tcase, full_cache_refuses_and_records_calls);
 	tcase_add_test_raise_signal(tcase, second_start_aborts, 6);
-	tcase_add_test(tcase, moves_whole_and_refuses_malformed);
+	tcase_add_test(tcase, loads_written_cache_and_rejects_malformed);
 	srunner_run_all(runner, CK_NORMAL);
 	failures = srunner_ntests_failed(runner);
 	srunner_free(runner);
--- a/tests/test_rate_limit.c
+++ b/tests/test_rate_limit.c
@@ -7,11 +7,11 @@
 #define START_MS 5000
 
 /*
- * All targets are out. Each of 10,000 calls fails, and each would be sent
- * again twice: three times the load for those that come back first. What is
- * sent again stays a tenth, and what may have run is never sent again.
+ * All targets are down. Each of 10,000 calls fails and would be retried twice:
+ * three times the load for the first targets to recover. Retries must stay at a
+ * tenth of the first attempts, and a call that may have run is never retried.
  */
-START_TEST(outage_is_not_amplified)
+START_TEST(limits_retries_during_outage)
 {
 	dy_retry_budget_t budget;
 	unsigned again = 0, unsafe = 0;
@@ -31,8 +31,8 @@
 }
 END_TEST
 
-/* One target goes with 14 calls on it: all are sent again at once. */
-START_TEST(single_failure_is_retried_whole)
+/* One target fails with 14 calls in progress: all are retried at once. */
+START_TEST(retries_all_calls_of_one_failed_target)
 {
 	dy_retry_budget_t budget;
 	int i;
@@ -44,7 +44,7 @@
 }
 END_TEST
 
-START_TEST(backoff_grows_and_is_spread)
+START_TEST(backoff_grows_with_jitter)
 {
 	GRand *rand = g_rand_new_with_seed(1);
 	uint32_t least = UINT32_MAX, most = 0, ms;
@@ -65,70 +65,76 @@
 }
 END_TEST
 
-/* When each of n callers comes next; all at START_MS at first. */
-typedef struct crowd {
+/*
+ * Callers that reconnect: the time of the next attempt of each, 0 once
+ * accepted.
+ */
+typedef struct reconnect {
 	dy_session_rate_limit_t limit;
 	GRand *rand;
 	uint64_t next_ms[1000];
-	unsigned taken;
-	unsigned tries;
-	unsigned most_in_100_ms; /* arrivals, but the first */
-} crowd_t;
+	unsigned accepted;
+	unsigned attempts;
+	unsigned max_in_100_ms; /* arrivals, without the first ones */
+} reconnect_t;
 
-static void run_crowd(crowd_t *crowd, uint64_t until_ms)
+static void run_reconnect(reconnect_t *reconnect, uint64_t until_ms)
 {
 	unsigned arrived = 0;
 	uint64_t now_ms;
-	uint32_t later_ms;
+	uint32_t retry_ms;
 	int i;
 
 	for (now_ms = START_MS; now_ms < until_ms; now_ms++) {
 		if (now_ms % 100 == 0)
 			arrived = 0;
 		for (i = 0; i < 1000; i++) {
-			if (crowd->next_ms[i] != now_ms)
+			if (reconnect->next_ms[i] != now_ms)
 				continue;
-			crowd->tries++;
+			reconnect->attempts++;
 			arrived += now_ms != START_MS;
-			later_ms = dy_session_rate_limit_admit(
-				&crowd->limit, crowd->rand, now_ms);
-			crowd->taken += !later_ms;
-			crowd->next_ms[i] = later_ms ? now_ms + later_ms : 0;
+			retry_ms = dy_session_rate_limit_admit(
+				&reconnect->limit, reconnect->rand, now_ms);
+			reconnect->accepted += !retry_ms;
+			reconnect->next_ms[i] =
+				retry_ms ? now_ms + retry_ms : 0;
 		}
-		crowd->most_in_100_ms = MAX(crowd->most_in_100_ms, arrived);
+		reconnect->max_in_100_ms =
+			MAX(reconnect->max_in_100_ms, arrived);
 	}
 }
 
 /*
- * A failure domain goes and 1,000 callers open their flows anew at one
- * target, at the same moment. A few get in; told the same time, the others
- * would be the next wave. They come back evenly, about as fast as they can
- * be taken, and nearly all get in then.
+ * A failure domain is lost and 1,000 callers open their flows at one target at
+ * the same moment. Some are accepted; with the same retry delay the others
+ * would be the next wave. They must return evenly, at about the rate at which
+ * they are accepted, and then nearly all be accepted.
  */
-START_TEST(crowd_comes_back_evenly)
+START_TEST(refused_sessions_return_evenly)
 {
-	crowd_t crowd = { 0 };
+	reconnect_t reconnect = { 0 };
 	int i;
 
-	crowd.rand = g_rand_new_with_seed(1);
-	dy_session_rate_limit_init(&crowd.limit, 7, START_MS);
+	reconnect.rand = g_rand_new_with_seed(1);
+	dy_session_rate_limit_init(&reconnect.limit, 7, START_MS);
 	for (i = 0; i < 1000; i++)
-		crowd.next_ms[i] = START_MS;
-	run_crowd(&crowd, START_MS + 1);
-	ck_assert_uint_eq(crowd.taken, 70);
-	run_crowd(&crowd, START_MS + 3000);
-	ck_assert_uint_eq(crowd.taken, 1000);
-	ck_assert_uint_le(crowd.tries, 2300);
-	ck_assert_uint_le(crowd.most_in_100_ms, 140);
-	g_rand_free(crowd.rand);
+		reconnect.next_ms[i] = START_MS;
+	run_reconnect(&reconnect, START_MS + 1);
+	ck_assert_uint_eq(reconnect.accepted, 70);
+	run_reconnect(&reconnect, START_MS + 3000);
+	ck_assert_uint_eq(reconnect.accepted, 1000);
+	ck_assert_uint_le(reconnect.attempts, 2300);
+	ck_assert_uint_le(reconnect.max_in_100_ms, 140);
+	g_rand_free(reconnect.rand);
 }
 END_TEST
 
 /*
- * The crowd's first calls already make others wait. The rate falls with each
- * look until it is a tenth, and rises again when the waits are short.
+ * The calls of the first accepted sessions already make others wait. The rate
+ * must fall with each update down to a tenth, and rise again once waits are
+ * short.
  */
-START_TEST(crowd_waits_for_the_calls_of_those_before)
+START_TEST(session_rate_follows_queue_wait)
 {
 	dy_session_rate_limit_t limit;
 	uint64_t now_ms = START_MS;
@@ -148,7 +154,7 @@
 }
 END_TEST
 
-START_TEST(crowd_survives_a_clock_that_goes_back)
+START_TEST(session_rate_ignores_clock_that_goes_back)
 {
 	GRand *rand = g_rand_new_with_seed(1);
 	dy_session_rate_limit_t limit;
@@ -167,14 +173,14 @@
 int main(void)
 {
 	const TTest *const tests[] = {
-		outage_is_not_amplified,
-		single_failure_is_retried_whole,
-		backoff_grows_and_is_spread,
-		crowd_comes_back_evenly,
-		crowd_waits_for_the_calls_of_those_before,
-		crowd_survives_a_clock_that_goes_back,
+		limits_retries_during_outage,
+		retries_all_calls_of_one_failed_target,
+		backoff_grows_with_jitter,
+		refused_sessions_return_evenly,
+		session_rate_follows_queue_wait,
+		session_rate_ignores_clock_that_goes_back,
 		NULL,
 	};
 
-	return fake_suite_run("budget", tests);
+	return fake_suite_run("rate_limit", tests);
 }
