--- a/include/damaskyard/rpc.h
+++ b/include/damaskyard/rpc.h
@@ -5,8 +5,8 @@
  * ONC RPC version 2 messages (RFC 5531) in memory, by libtirpc's codec.
  *
  * A parsed message points into the buffer it was parsed from and allocates
- * nothing. Every parser takes any bytes whatever and reads none outside of
- * them.
+ * nothing. Every parser accepts arbitrary input and never reads outside the
+ * buffer.
  */
 
 #include <stddef.h>
@@ -14,10 +14,10 @@
 
 #include "dy_caller.h"
 
-/* Bytes of a credential's or verifier's body at most (RFC 5531, 8.2). */
+/* Maximum length of the body of a credential or verifier (RFC 5531, 8.2). */
 #define DY_RPC_MAX_AUTH_BYTES 400
 
-/* Bytes of a message's head at most: two bodies and the words around them. */
+/* Maximum length of a message header: two bodies and the fixed fields. */
 #define DY_RPC_MAX_HEADER_BYTES (2 * DY_RPC_MAX_AUTH_BYTES + 64)
 
 typedef struct dy_rpc_auth {
@@ -40,48 +40,54 @@
 typedef struct dy_rpc_reply {
 	uint32_t xid;
 	int denied;
-	uint32_t status;	/* accept_stat, or auth_stat when denied */
+	uint32_t status;	/* accept_stat, or auth_stat if denied */
 	dy_rpc_auth_t verifier; /* of an accepted reply */
 	const uint8_t *results;
 	size_t results_len;
 } dy_rpc_reply_t;
 
-/* Parse a message. Returns 0, or -1 if it is no well-formed one. */
+/* Parse a message. Return 0, or -1 if the message is malformed. */
 int dy_rpc_parse_call(const uint8_t *bytes, size_t len, dy_rpc_call_t *call);
 int dy_rpc_parse_reply(const uint8_t *bytes, size_t len, dy_rpc_reply_t *reply);
 
 /*
- * Write a message into out, which has room for cap bytes. Each returns the
- * message's length in bytes, or 0 if it does not fit. A body may be NULL if
- * its length is 0; args and results are copied in behind the head.
+ * Writes a message into out, which has a capacity of cap bytes. Returns the
+ * length of the message in bytes, or 0 if it does not fit. A body may be NULL
+ * if its length is 0. args and results are copied behind the header.
  */
 size_t dy_rpc_write_call(const dy_rpc_call_t *call, uint8_t *out, size_t cap);
 
-/* status is an accept_stat of <rpc/rpc_msg.h>. */
+/*
+ * As dy_rpc_write_call(). reply->status is an accept_stat of <rpc/rpc_msg.h>,
+ * or an auth_stat if denied.
+ */
 size_t dy_rpc_write_reply(const dy_rpc_reply_t *reply, uint8_t *out,
 			  size_t cap);
 
 /*
- * Write the refusal of a call: PROG_UNAVAIL for DY_NOT_RUN, SYSTEM_ERR for
- * DY_MAY_HAVE_RUN, with the reason and the time to come back (milliseconds)
- * in the verifier. A stock client sends neither again by itself.
+ * Writes the refusal of a call: PROG_UNAVAIL for DY_NOT_RUN, SYSTEM_ERR for
+ * DY_MAY_HAVE_RUN, with the reason and the retry delay (in ms) in the verifier.
+ * The stock RPC library does not retry on either. Returns the length, or 0 if
+ * it does not fit.
  */
 size_t dy_rpc_write_refusal(uint32_t xid, const dy_refusal_t *refusal,
 			    uint8_t *out, size_t cap);
 
 /*
- * Write AUTH_TOOWEAK: the call did not run for want of a token. Only for a
- * call without one, since a stock client that holds a token would send the
- * call again under a new xid.
+ * Writes AUTH_TOOWEAK: the call did not run because it has no token. Use it
+ * only for a call without a token: a stock RPC library that holds one would
+ * send the call again under a new xid. Returns the length, or 0 if it does not
+ * fit.
  */
 size_t dy_rpc_write_too_weak(uint32_t xid, uint8_t *out, size_t cap);
 
 /*
- * Read the refusal in a reply. Returns 0, or -1 if the reply holds none.
+ * Reads the refusal from a reply. Returns 0, or -1 if the reply contains none.
  */
 int dy_rpc_load_refusal(const dy_rpc_reply_t *reply, dy_refusal_t *refusal);
 
-/* Returns the name of a verdict or reason, as logs and commands print it. */
+/* Return the name of a verdict or reason, as in logs and commands, or
+ * "unknown". */
 const char *dy_verdict_name(uint32_t verdict);
 const char *dy_reason_name(uint32_t reason);
 
--- a/src/request/openings.c
+++ b/src/request/openings.c
@@ -5,12 +5,12 @@
 #include <glib.h>
 #include <xxhash.h>
 
-/* A ring in order of sending, and an index into it by key. */
+/* Ring buffer in sending order, with an index by key. */
 struct openings {
 	opening_t ring[OPENINGS_MAX];
 	unsigned first;
 	unsigned count;
-	GHashTable *by_key; /* key: its entry of the ring */
+	GHashTable *by_key; /* key: entry in the ring */
 };
 
 openings_t *openings_create(void)
@@ -46,8 +46,8 @@
 	return g_hash_table_lookup(openings->by_key, &key);
 }
 
-/* An entry that was taken stays in the ring with key 0 until its turn. */
-static void forget(openings_t *openings, opening_t *entry)
+/* A removed entry stays in the ring with key 0 until it is the oldest. */
+static void remove_entry(openings_t *openings, opening_t *entry)
 {
 	g_hash_table_remove(openings->by_key, &entry->key);
 	entry->key = 0;
@@ -68,11 +68,11 @@
 
 	entry = g_hash_table_lookup(openings->by_key, &opening->key);
 	if (entry)
-		forget(openings, entry);
+		remove_entry(openings, entry);
 	if (openings->count == OPENINGS_MAX) {
 		entry = pop_first(openings);
 		if (entry->key)
-			forget(openings, entry);
+			remove_entry(openings, entry);
 	}
 	entry = &openings->ring[(openings->first + openings->count) %
 				OPENINGS_MAX];
@@ -81,14 +81,14 @@
 	g_hash_table_insert(openings->by_key, &entry->key, entry);
 }
 
-int openings_take(openings_t *openings, uint64_t key, opening_t *opening)
+int openings_remove(openings_t *openings, uint64_t key, opening_t *opening)
 {
 	opening_t *entry = g_hash_table_lookup(openings->by_key, &key);
 
 	if (!entry)
 		return 0;
 	*opening = *entry;
-	forget(openings, entry);
+	remove_entry(openings, entry);
 	return 1;
 }
 
@@ -104,7 +104,7 @@
 		if (!entry->key)
 			continue;
 		*opening = *entry;
-		forget(openings, entry);
+		remove_entry(openings, entry);
 		return 1;
 	}
 	return 0;
--- a/src/request/openings.h
+++ b/src/request/openings.h
@@ -2,9 +2,10 @@
 #define DAMASKYARD_OPENINGS_H
 
 /*
- * Openings of flows that a balancer has sent to an agent and that have no
- * answer yet, so that a copy goes to the same agent (which knows it again)
- * and silence counts against the target.
+ * Flow openings that a balancer has forwarded to an agent and that are not yet
+ * answered. A retransmission is forwarded to the same agent, which recognizes
+ * it as a duplicate, and an opening without an answer counts as a failure of
+ * the target.
  */
 
 #include <stdint.h>
@@ -12,16 +13,18 @@
 #include "damaskyard/address.h"
 
 /*
- * Openings held at once. 64 balancers before 50,000 callers that all come
- * back within a second see 800 a second each; 4,096 hold five seconds of
- * them. A full table forgets the oldest, which then counts as unanswered.
+ * Capacity of the table. With 64 balancers and 50,000 callers that reconnect
+ * within a second, each balancer gets 800 openings per second; 4,096 entries
+ * hold five seconds of them. A full table drops the oldest entry, which then
+ * stays unanswered in the load state of its target.
  */
 #define OPENINGS_MAX 4096
 
 /*
- * An opening without an answer for this long has failed, in ms, and a copy of
- * it goes elsewhere: before a stock client sends its second copy, and a
- * hundred times the way there and back between failure domains.
+ * An opening fails after this time without an answer, in ms, and a
+ * retransmission goes to another target. It is shorter than the retransmission
+ * timeout of a stock RPC library and a hundred times the round trip between
+ * failure domains.
  */
 #define OPENING_TIMEOUT_MS 400
 
@@ -30,28 +33,37 @@
 typedef struct opening {
 	uint64_t key;
 	uint64_t service;
-	uint64_t incarnation; /* of the agent it went to */
+	uint64_t incarnation; /* of the agent that received it */
 	uint64_t sent_ms;
 } opening_t;
 
+/* Creates an empty table. Never fails. */
 openings_t *openings_create(void);
+
+/* Frees a table. NULL is allowed. */
 void openings_destroy(openings_t *openings);
 
-/* The key of a call: its caller and xid. */
+/* Returns the key of a call, a hash of its caller and xid; never 0. */
 uint64_t openings_key(const dy_address_t *caller, uint32_t xid);
 
-/* Find the opening of that key. Returns NULL if there is none. */
+/*
+ * Returns the opening with that key, or NULL. It stays valid until the next
+ * change of the table.
+ */
 const opening_t *openings_find(const openings_t *openings, uint64_t key);
 
-/* Add one, or replace the one with its key. */
+/* Adds an opening, or replaces the one with the same key. It is copied. */
 void openings_add(openings_t *openings, const opening_t *opening);
 
-/* Remove one. Returns 1 and copies it to *opening if it was there. */
-int openings_take(openings_t *openings, uint64_t key, opening_t *opening);
+/*
+ * Removes an opening. Returns 1 and copies it to *opening if it was present,
+ * else 0.
+ */
+int openings_remove(openings_t *openings, uint64_t key, opening_t *opening);
 
 /*
- * Take one that has had no answer for OPENING_TIMEOUT_MS. Returns 0 if there
- * is none.
+ * Removes an opening that has had no answer for OPENING_TIMEOUT_MS and copies
+ * it to *opening. Returns 1, or 0 if there is none.
  */
 int openings_expire(openings_t *openings, uint64_t now_ms, opening_t *opening);
 
--- a/src/request/router.c
+++ b/src/request/router.c
@@ -3,9 +3,10 @@
 #include <rpc/rpc.h>
 
 /*
- * What is tried again at another target adds at most a fifth to the openings,
- * so that targets that all give back do not get three times the load; a
- * drained target's openings of one poll, some hundred, may all move at once.
+ * Retries at another target add at most a fifth to the openings, so that
+ * targets that all return their openings do not get three times the load. The
+ * burst covers the openings that reach a draining target within one poll
+ * interval, some hundred, which may all move at once.
  */
 #define RETRY_RATIO_PERMILLE 200
 #define RETRY_BURST 200
@@ -28,8 +29,8 @@
 		{ "refused_target_lost", &counters->target_lost },
 		{ "refused_too_weak", &counters->too_weak },
 		{ "refused_unknown_program", &counters->unknown_program },
-		{ "calls_to_successor", &counters->chained },
-		{ "calls_before_state", &counters->too_early },
+		{ "calls_to_successor", &counters->to_successor },
+		{ "calls_before_state", &counters->before_state },
 	};
 
 	dy_metrics_counters(metrics, entries, G_N_ELEMENTS(entries));
@@ -60,7 +61,7 @@
 	router->refuse_limit = limit;
 	dy_pick_config_init(&router->pick, DY_PICK_AVOID_BROKEN_FLOWS);
 	register_counters(&router->counters, config->metrics);
-	dy_retry_budget_init(&router->retries, RETRY_RATIO_PERMILLE,
+	dy_retry_budget_init(&router->retry_budget, RETRY_RATIO_PERMILLE,
 			     RETRY_BURST);
 	return router;
 }
@@ -117,7 +118,7 @@
 {
 	router->confirmed = confirmed;
 	if (confirmed)
-		router->complete = 1;
+		router->state_complete = 1;
 }
 
 void dy_router_set_ready(dy_router_t *router, int ready)
@@ -168,7 +169,10 @@
 	       call->program_version == service->service->program_version;
 }
 
-/* Returns 1 if the datagram is a call, or its start when it was cut. */
+/*
+ * Returns 1 if the datagram is a well-formed call that can be routed. Otherwise
+ * drops it, or refuses it if it is truncated or too large.
+ */
 static int load_packet(dy_router_t *router, packet_t *packet)
 {
 	const dy_router_datagram_t *datagram = packet->datagram;
@@ -202,7 +206,7 @@
 	packet.service =
 		route_table_find_service(router->table, datagram->service);
 	if (!packet.service) {
-		router_refuse_unoffered(router, &packet);
+		router_refuse_unknown_service(router, &packet);
 		return;
 	}
 	packet.idempotent = dy_service_is_idempotent(packet.service->service,
--- a/src/request/router_answer.c
+++ b/src/request/router_answer.c
@@ -5,8 +5,8 @@
 #include <rpc/rpc.h>
 
 /*
- * Targets that one datagram is tried at. Each has said that it did not run
- * it; after three a caller had better wait.
+ * Maximum number of targets that one datagram is forwarded to. Each has
+ * reported that it did not run the call; after three the caller should wait.
  */
 #define HOPS_MAX 3
 
@@ -21,8 +21,8 @@
 	return service && member ? route_service_find(service, member) : NULL;
 }
 
-static void note_answer(dy_pick_target_t *pick, const dy_load_t *load,
-			int opened, uint64_t now_ms)
+static void record_answer(dy_pick_target_t *pick, const dy_load_t *load,
+			  int opened, uint64_t now_ms)
 {
 	dy_pick_report_t report = { 0 };
 
@@ -39,23 +39,24 @@
 }
 
 /*
- * An agent without its target reports no slots. Taken for load, that report
- * would keep every flow away for good, since only an answer brings a newer
- * one; taken for a failure, the target is tried again after a while.
+ * An agent without its target reports no slots. If this were stored as a load
+ * report, the target would get no flow again, because only an answer brings a
+ * newer report. It is counted as a failure instead, after which the target is
+ * tried again.
  */
-static void note_bounce(dy_pick_target_t *pick, const dy_bounce_t *bounce,
-			uint64_t now_ms)
+static void record_bounce(dy_pick_target_t *pick, const dy_bounce_t *bounce,
+			  uint64_t now_ms)
 {
-	note_answer(pick, &bounce->load, 1, now_ms);
+	record_answer(pick, &bounce->load, 1, now_ms);
 	if (!bounce->load.slots)
 		dy_pick_note_failure(pick, 0, now_ms);
-	/* Else an agent that has just joined would get no flow. */
+	/* Otherwise an agent that has just joined would get no flow. */
 	else if (bounce->reason != DY_REASON_NOT_READY)
 		dy_pick_note_refusal(pick);
 }
 
-static int take_opening(dy_router_t *router, const dy_address_t *caller,
-			const uint8_t *bytes, size_t len)
+static int remove_opening(dy_router_t *router, const dy_address_t *caller,
+			  const uint8_t *bytes, size_t len)
 {
 	opening_t opening;
 	uint32_t xid;
@@ -63,16 +64,16 @@
 	if (len < sizeof(xid))
 		return 0;
 	memcpy(&xid, bytes, sizeof(xid));
-	return openings_take(router->openings, openings_key(caller, ntohl(xid)),
-			     &opening);
+	return openings_remove(router->openings,
+			       openings_key(caller, ntohl(xid)), &opening);
 }
 
 /*
- * Whether a call was refused for want of room, which a report of free slots
- * would contradict. Refusals of openings, by the limit on crowds, and those
- * for want of a token or a target say nothing of it.
+ * Returns 1 if a call was refused because the target has no capacity, in
+ * contradiction to a report of free slots. Refused openings (limit on new
+ * sessions) and refusals for lack of a token or a target do not indicate this.
  */
-static int is_full(const uint8_t *bytes, size_t len)
+static int is_overload_refusal(const uint8_t *bytes, size_t len)
 {
 	dy_refusal_t refusal;
 	dy_rpc_reply_t reply;
@@ -93,11 +94,11 @@
 	dy_pick_target_t *pick;
 	int opened;
 
-	opened = take_opening(router, &answer->caller, bytes, len);
+	opened = remove_opening(router, &answer->caller, bytes, len);
 	pick = find_pick(router, answer->service, answer->incarnation);
 	if (pick) {
-		note_answer(pick, &answer->load, opened, now_ms);
-		if (!opened && is_full(bytes, len))
+		record_answer(pick, &answer->load, opened, now_ms);
+		if (!opened && is_overload_refusal(bytes, len))
 			dy_pick_note_refusal(pick);
 	}
 	++*router->counters.answered;
@@ -124,14 +125,14 @@
 	packet.hops = forward->hops + 1;
 	if (dy_rpc_parse_call(datagram.bytes, datagram.len, &packet.call))
 		return;
-	take_opening(router, &datagram.caller, datagram.bytes, datagram.len);
+	remove_opening(router, &datagram.caller, datagram.bytes, datagram.len);
 	pick = find_pick(router, forward->service, forward->incarnation);
 	if (pick)
-		note_bounce(pick, bounce, now_ms);
+		record_bounce(pick, bounce, now_ms);
 	packet.service =
 		route_table_find_service(router->table, datagram.service);
 	if (packet.service && packet.hops < HOPS_MAX &&
-	    dy_retry_budget_withdraw(&router->retries, DY_RETRY_NOT_RUN)) {
+	    dy_retry_budget_withdraw(&router->retry_budget, DY_RETRY_NOT_RUN)) {
 		router_open_flow(router, &packet);
 		return;
 	}
--- a/src/request/router_flow.c
+++ b/src/request/router_flow.c
@@ -29,9 +29,9 @@
 		     &member->address);
 }
 
-/* A copy of an opening goes where the first one went. */
-static route_member_t *find_earlier(dy_router_t *router, const packet_t *packet,
-				    uint64_t key)
+/* Returns the agent that got the first copy of an opening, or NULL. */
+static route_member_t *find_first_agent(dy_router_t *router,
+					const packet_t *packet, uint64_t key)
 {
 	const opening_t *opening = openings_find(router->openings, key);
 
@@ -54,7 +54,10 @@
 	return service->members[at];
 }
 
-/* A flow opens, or an idempotent call finds its own target gone. */
+/*
+ * Forwards a call that opens a flow, or an idempotent call whose target is
+ * lost, to a selected target.
+ */
 void router_open_flow(dy_router_t *router, const packet_t *packet)
 {
 	opening_t opening = { 0 };
@@ -68,8 +71,8 @@
 	}
 	opening.key = openings_key(&packet->datagram->caller, packet->call.xid);
 	if (!packet->hops) {
-		dy_retry_budget_deposit(&router->retries);
-		member = find_earlier(router, packet, opening.key);
+		dy_retry_budget_deposit(&router->retry_budget);
+		member = find_first_agent(router, packet, opening.key);
 	}
 	if (member) {
 		forward_to(router, packet, member);
@@ -91,22 +94,22 @@
 }
 
 /*
- * The incarnation that its token names is gone, and no successor has its
- * session. A copy of a non-idempotent call may have run there, so it gets
- * may have run and never a second run.
+ * Handles a call whose token names a lost incarnation without a successor for
+ * its session. A duplicate of a non-idempotent call may have run there, so the
+ * call gets the verdict may have run and is never run a second time.
  *
- * Guards against a balancer that has just started and knows a part of the
- * state: the record that leads to the session may come with the next page,
- * and a verdict now would break the flow. The caller sends again.
+ * A balancer that has just started has only a part of the state: the record
+ * that leads to the session may be on the next page, and a verdict would break
+ * the flow. It drops the call; the caller retransmits.
  */
-static void answer_lost(dy_router_t *router, const packet_t *packet)
+static void handle_lost_target(dy_router_t *router, const packet_t *packet)
 {
 	if (packet->idempotent) {
 		router_open_flow(router, packet);
 		return;
 	}
-	if (!router->complete) {
-		router_drop(router, router->counters.too_early,
+	if (!router->state_complete) {
+		router_drop(router, router->counters.before_state,
 			    "call_before_state", packet);
 		return;
 	}
@@ -116,12 +119,12 @@
 }
 
 /*
- * Control has not heard from the agent for a lease. It may be cut off from
- * control alone: it is taken for lost only when this balancer, too, has sent
- * it calls and got no answer since.
+ * Returns 1 if a suspect agent counts as lost. Control has received no poll
+ * from it for a lease, but it may be cut off from control alone: it is lost
+ * only if it has not answered the calls of this balancer either.
  */
-static int is_silent(dy_router_t *router, const packet_t *packet,
-		     const route_member_t *member)
+static int is_unresponsive(dy_router_t *router, const packet_t *packet,
+			   const route_member_t *member)
 {
 	const dy_pick_target_t *pick =
 		route_service_find(packet->service, member);
@@ -134,9 +137,9 @@
 }
 
 /*
- * Follow a chain of planned stops from the member that the token names to
- * the one that holds the session now. Returns NULL if the chain ends at one
- * that is gone.
+ * Follows a chain of planned stops from the member named by the token to the
+ * one that holds the session now. Returns NULL if the chain ends at a member
+ * that is lost, or is too long.
  */
 static route_member_t *find_owner(dy_router_t *router, const packet_t *packet,
 				  route_member_t *member)
@@ -154,19 +157,19 @@
 					 member->successor_count);
 		if (!next)
 			return NULL;
-		++*router->counters.chained;
+		++*router->counters.to_successor;
 		member = route_table_find_incarnation(router->table, next);
 	}
 	return NULL;
 }
 
-static void forward_known(dy_router_t *router, const packet_t *packet,
-			  route_member_t *member)
+static void forward_to_owner(dy_router_t *router, const packet_t *packet,
+			     route_member_t *member)
 {
 	dy_pick_target_t *pick;
 
-	if (is_silent(router, packet, member)) {
-		answer_lost(router, packet);
+	if (is_unresponsive(router, packet, member)) {
+		handle_lost_target(router, packet);
 		return;
 	}
 	pick = route_service_find(packet->service, member);
@@ -176,8 +179,8 @@
 }
 
 /*
- * A call with a good token. A token of an incarnation that this balancer has
- * not heard of yet is newer than its state: the token itself says where.
+ * Routes a call with a valid token. An incarnation that this balancer does not
+ * have yet is newer than its state: the address is in the token.
  */
 static void route_flow(dy_router_t *router, const packet_t *packet)
 {
@@ -193,14 +196,14 @@
 			send_forward(router, packet, token->agent,
 				     token->incarnation, &token->address);
 		else
-			answer_lost(router, packet);
+			handle_lost_target(router, packet);
 		return;
 	}
 	member = find_owner(router, packet, member);
 	if (member)
-		forward_known(router, packet, member);
+		forward_to_owner(router, packet, member);
 	else
-		answer_lost(router, packet);
+		handle_lost_target(router, packet);
 }
 
 void router_route_call(dy_router_t *router, packet_t *packet)
@@ -226,7 +229,7 @@
 		break;
 	case DY_TOKEN_EXPIRED:
 		++*router->counters.expired;
-		answer_lost(router, packet);
+		handle_lost_target(router, packet);
 		break;
 	case DY_TOKEN_MALFORMED:
 	case DY_TOKEN_FORGED:
--- a/src/request/router_private.h
+++ b/src/request/router_private.h
@@ -4,15 +4,16 @@
 #include "damaskyard/router.h"
 
 #include "../version/route_table.h"
-#include "damaskyard/rate_limit.h"
 #include "damaskyard/burn.h"
 #include "damaskyard/log.h"
 #include "damaskyard/pick.h"
+#include "damaskyard/rate_limit.h"
 #include "openings.h"
 
 /*
- * When a refused caller should come back, in ms: half to one and a half
- * times this, so that a refused crowd does not come back as one.
+ * Retry delay of a refused caller, in ms, before jitter: the delay sent is
+ * between half and one and a half times this, so that refused callers do not
+ * all return at once.
  */
 #define RETRY_NOT_READY_MS 1000
 #define RETRY_NO_TARGET_MS 2000
@@ -33,11 +34,13 @@
 	uint64_t *target_lost;
 	uint64_t *too_weak;
 	uint64_t *unknown_program;
-	uint64_t *chained;
-	uint64_t *too_early;
+	uint64_t *to_successor;
+	uint64_t *before_state;
 } counters_t;
 
-/* What this balancer itself refused of a service. */
+/*
+ * Error budget of the calls of one service that this balancer itself refused.
+ */
 typedef struct service_burn {
 	uint64_t id;
 	char *name;
@@ -49,19 +52,19 @@
 	route_table_t *table;
 	openings_t *openings;
 	dy_pick_config_t pick;
-	dy_retry_budget_t retries;
+	dy_retry_budget_t retry_budget;
 	uint16_t domain;
 	int confirmed;
-	int complete; /* it was confirmed once, so all of the state is here */
+	int state_complete; /* confirmed once: the state is complete */
 	int ready;
 	counters_t counters;
 	dy_log_limit_t drop_limit;
 	dy_log_limit_t refuse_limit;
-	GHashTable *burns; /* service id: service_burn_t, once one burned */
+	GHashTable *burns; /* service id: service_burn_t, created lazily */
 	uint64_t burn_published_ms;
 };
 
-/* One datagram on its way through. */
+/* A datagram while it is routed. */
 typedef struct packet {
 	const dy_router_datagram_t *datagram;
 	route_service_t *service;
@@ -72,21 +75,27 @@
 	uint64_t now_ms;
 } packet_t;
 
-/* router_refuse.c: what goes back to a caller from here. */
+/*
+ * router_refuse.c: replies to callers. retry_ms is the retry delay before
+ * jitter, 0: none.
+ */
 void router_send(dy_router_t *router, const dy_router_datagram_t *datagram,
 		 const uint8_t *bytes, size_t len);
 void router_refuse(dy_router_t *router, const packet_t *packet,
-		   dy_verdict_t verdict, dy_reason_t reason,
-		   uint32_t around_ms);
+		   dy_verdict_t verdict, dy_reason_t reason, uint32_t retry_ms);
 void router_refuse_too_weak(dy_router_t *router, const packet_t *packet);
-void router_refuse_unoffered(dy_router_t *router, const packet_t *packet);
+void router_refuse_unknown_service(dy_router_t *router, const packet_t *packet);
 
-/* Count a datagram that gets no answer, and log it under a limit. */
+/*
+ * Drops a datagram without an answer: counts it and logs it at a limited rate.
+ */
 void router_drop(dy_router_t *router, uint64_t *counter, const char *event,
 		 const packet_t *packet);
+
+/* Publishes the error budgets, at most once per BURN_PUBLISH_MS. */
 void router_publish_burns(dy_router_t *router, uint64_t now_ms);
 
-/* router_flow.c: to which agent a call goes. */
+/* router_flow.c: selection of the agent. */
 void router_open_flow(dy_router_t *router, const packet_t *packet);
 void router_route_call(dy_router_t *router, packet_t *packet);
 
--- a/src/request/router_refuse.c
+++ b/src/request/router_refuse.c
@@ -2,7 +2,10 @@
 
 #include <rpc/rpc.h>
 
-/* The report reads windows of minutes and more, in ms. */
+/*
+ * Interval at which error budgets are published, in ms. Their readers use
+ * windows of minutes and more.
+ */
 #define BURN_PUBLISH_MS 1000
 
 void router_send(dy_router_t *router, const dy_router_datagram_t *datagram,
@@ -14,13 +17,13 @@
 						 &datagram->caller, bytes, len);
 }
 
-static uint32_t spread_retry(dy_router_t *router, uint32_t around_ms)
+static uint32_t add_retry_jitter(dy_router_t *router, uint32_t retry_ms)
 {
-	if (!around_ms)
+	if (!retry_ms)
 		return 0;
 	return (uint32_t)g_rand_int_range(router->config.rand,
-					  (gint32)around_ms / 2,
-					  (gint32)around_ms * 3 / 2);
+					  (gint32)retry_ms / 2,
+					  (gint32)retry_ms * 3 / 2);
 }
 
 static void count_burn(dy_router_t *router, const packet_t *packet,
@@ -43,7 +46,7 @@
 }
 
 void router_refuse(dy_router_t *router, const packet_t *packet,
-		   dy_verdict_t verdict, dy_reason_t reason, uint32_t around_ms)
+		   dy_verdict_t verdict, dy_reason_t reason, uint32_t retry_ms)
 {
 	dy_refusal_t refusal = { verdict, reason, 0 };
 	uint8_t out[DY_RPC_MAX_HEADER_BYTES];
@@ -58,7 +61,7 @@
 	count_burn(router, packet,
 		   verdict == DY_NOT_RUN ? DY_OUTCOME_REFUSED
 					 : DY_OUTCOME_BROKEN_FLOW);
-	refusal.retry_after_ms = spread_retry(router, around_ms);
+	refusal.retry_after_ms = add_retry_jitter(router, retry_ms);
 	router_send(router, packet->datagram, out,
 		    dy_rpc_write_refusal(packet->call.xid, &refusal, out,
 					 sizeof(out)));
@@ -73,8 +76,11 @@
 		    dy_rpc_write_too_weak(packet->call.xid, out, sizeof(out)));
 }
 
-/* The document in force no longer offers the service. */
-void router_refuse_unoffered(dy_router_t *router, const packet_t *packet)
+/*
+ * Refuses a call of a service that the document in force no longer contains. A
+ * call with a token may have run already.
+ */
+void router_refuse_unknown_service(dy_router_t *router, const packet_t *packet)
 {
 	dy_verdict_t verdict = DY_NOT_RUN;
 
--- a/src/request/rpc.c
+++ b/src/request/rpc.c
@@ -19,7 +19,7 @@
 	return auth->body || !padded;
 }
 
-/* XDR's memory streams take a length of 32 bits and writable bytes. */
+/* XDR memory streams take a 32-bit length and a pointer to writable bytes. */
 static int open_stream(XDR *xdrs, const uint8_t *bytes, size_t len,
 		       enum xdr_op op)
 {
@@ -29,7 +29,7 @@
 	return 0;
 }
 
-static bool_t parse_call_head(XDR *xdrs, dy_rpc_call_t *call)
+static bool_t parse_call_header(XDR *xdrs, dy_rpc_call_t *call)
 {
 	uint32_t direction;
 	uint32_t rpc_version;
@@ -51,18 +51,18 @@
 
 	if (open_stream(&xdrs, bytes, len, XDR_DECODE))
 		return -1;
-	if (!parse_call_head(&xdrs, call))
+	if (!parse_call_header(&xdrs, call))
 		return -1;
 	call->args = bytes + xdr_getpos(&xdrs);
 	call->args_len = len - xdr_getpos(&xdrs);
 	return 0;
 }
 
-static bool_t parse_reply_head(XDR *xdrs, dy_rpc_reply_t *reply)
+static bool_t parse_reply_header(XDR *xdrs, dy_rpc_reply_t *reply)
 {
 	uint32_t direction;
 	uint32_t accepted;
-	uint32_t why;
+	uint32_t reject_stat;
 
 	if (!xdr_u_int32_t(xdrs, &reply->xid) ||
 	    !xdr_u_int32_t(xdrs, &direction) || direction != REPLY ||
@@ -72,7 +72,7 @@
 		return parse_auth(xdrs, &reply->verifier) &&
 		       xdr_u_int32_t(xdrs, &reply->status);
 	reply->denied = 1;
-	return accepted == MSG_DENIED && xdr_u_int32_t(xdrs, &why) &&
+	return accepted == MSG_DENIED && xdr_u_int32_t(xdrs, &reject_stat) &&
 	       xdr_u_int32_t(xdrs, &reply->status);
 }
 
@@ -83,7 +83,7 @@
 	memset(reply, 0, sizeof(*reply));
 	if (open_stream(&xdrs, bytes, len, XDR_DECODE))
 		return -1;
-	if (!parse_reply_head(&xdrs, reply))
+	if (!parse_reply_header(&xdrs, reply))
 		return -1;
 	reply->results = bytes + xdr_getpos(&xdrs);
 	reply->results_len = len - xdr_getpos(&xdrs);
@@ -130,7 +130,7 @@
 	return append_body(&xdrs, call->args, call->args_len, out, cap);
 }
 
-static bool_t write_reply_head(XDR *xdrs, const dy_rpc_reply_t *reply)
+static bool_t write_reply_header(XDR *xdrs, const dy_rpc_reply_t *reply)
 {
 	if (!write_word(xdrs, reply->xid) || !write_word(xdrs, REPLY))
 		return FALSE;
@@ -149,7 +149,7 @@
 
 	if (open_stream(&xdrs, out, cap, XDR_ENCODE))
 		return 0;
-	if (!write_reply_head(&xdrs, reply))
+	if (!write_reply_header(&xdrs, reply))
 		return 0;
 	return append_body(&xdrs, reply->results, reply->results_len, out, cap);
 }
--- a/src/request/verdict.c
+++ b/src/request/verdict.c
@@ -7,21 +7,21 @@
 	return decision;
 }
 
-static dy_decision_t go_on(dy_verdict_t verdict, dy_reason_t reason)
+static dy_decision_t continue_call(dy_verdict_t verdict, dy_reason_t reason)
 {
 	dy_decision_t decision = { 0, 0, verdict, reason };
 
 	return decision;
 }
 
-static dy_decision_t pass_on(void)
+static dy_decision_t forward_answer(void)
 {
 	dy_decision_t decision = { 1, 1, DY_RAN, DY_REASON_NONE };
 
 	return decision;
 }
 
-/* No byte of it has been handed to the target. */
+/* Decides for a call of which no byte has been handed to the target. */
 static dy_decision_t decide_unsent(dy_call_event_t event)
 {
 	switch (event) {
@@ -37,21 +37,22 @@
 	case DY_EVENT_STOPPING:
 		return refuse(DY_NOT_RUN, DY_REASON_DRAINING);
 	default:
-		return go_on(DY_NOT_RUN, DY_REASON_BAD_ANSWER);
+		return continue_call(DY_NOT_RUN, DY_REASON_BAD_ANSWER);
 	}
 }
 
 /*
- * A target that answers SYSTEM_ERR or refuses the credential has had the
- * call in its hands. A refusal of the credential is not passed on as such: a
- * stock client that holds a token would send the call again by itself.
+ * Decides for a call that was sent. A target that answers SYSTEM_ERR or refuses
+ * the credential has received the call and may have run it. A refused
+ * credential is not forwarded as such: a stock RPC library that holds a token
+ * would send the call again by itself.
  */
 static dy_decision_t decide_sent(dy_call_event_t event)
 {
 	switch (event) {
 	case DY_EVENT_ANSWERED:
 	case DY_EVENT_ANSWERED_ERROR:
-		return pass_on();
+		return forward_answer();
 	case DY_EVENT_SHED_NOT_RUN:
 		return refuse(DY_NOT_RUN, DY_REASON_SHED);
 	case DY_EVENT_SHED_MAY_HAVE_RUN:
@@ -59,7 +60,7 @@
 	case DY_EVENT_CANCEL_GRANTED:
 		return refuse(DY_NOT_RUN, DY_REASON_CANCELLED);
 	case DY_EVENT_CANCEL:
-		return go_on(DY_MAY_HAVE_RUN, DY_REASON_CANCELLED);
+		return continue_call(DY_MAY_HAVE_RUN, DY_REASON_CANCELLED);
 	case DY_EVENT_ANSWER_TOO_LARGE:
 		return refuse(DY_MAY_HAVE_RUN, DY_REASON_TOO_LARGE);
 	case DY_EVENT_TARGET_LOST:
@@ -69,7 +70,7 @@
 	case DY_EVENT_STOPPING:
 		return refuse(DY_MAY_HAVE_RUN, DY_REASON_DRAINING);
 	case DY_EVENT_OVERLOAD:
-		return go_on(DY_MAY_HAVE_RUN, DY_REASON_OVERLOAD);
+		return continue_call(DY_MAY_HAVE_RUN, DY_REASON_OVERLOAD);
 	default:
 		return refuse(DY_MAY_HAVE_RUN, DY_REASON_BAD_ANSWER);
 	}
@@ -81,5 +82,5 @@
 		return decide_unsent(event);
 	if (stage == DY_STAGE_SENT)
 		return decide_sent(event);
-	return go_on(DY_MAY_HAVE_RUN, DY_REASON_DUPLICATE);
+	return continue_call(DY_MAY_HAVE_RUN, DY_REASON_DUPLICATE);
 }
--- a/tests/test_router.c
+++ b/tests/test_router.c
@@ -19,7 +19,7 @@
 	"[service maps]\naddress = 10.0.0.2:1\nprogram = 0x2A000002\n"
 	"version = 1\nidempotent = 1\n";
 
-/* The network: what the router sent last, and how often. */
+/* A fake network: the last message that the router sent, and counters. */
 typedef struct fake {
 	dy_router_t *router;
 	dy_keyring_t *ring;
@@ -131,7 +131,7 @@
 	g_rand_free(fake->rand);
 }
 
-/* Send a call of readings; token NULL: none. */
+/* Sends a call of the readings service. token NULL: without a token. */
 static void send_call(fake_t *fake, uint32_t xid, uint32_t procedure,
 		      const dy_token_t *token)
 {
@@ -158,7 +158,7 @@
 	dy_router_receive(fake->router, &datagram, fake->now_ms);
 }
 
-/* The agent that got the last datagram answers and has room. */
+/* The agent that received the last datagram answers and reports free slots. */
 static void answer_last(fake_t *fake)
 {
 	dy_answer_t answer = { 0 };
@@ -208,7 +208,7 @@
 	fake->forwards = 0;
 }
 
-START_TEST(submission_without_token_is_too_weak)
+START_TEST(submission_without_token_gets_auth_too_weak)
 {
 	fake_t fake;
 
@@ -222,11 +222,11 @@
 END_TEST
 
 /*
- * A station's opening is lost on its way back, so the station sends it
- * again. If the copy went to another target, the first one would keep a
- * session that nobody uses for hours.
+ * The answer to an opening is lost, so the caller retransmits. If the duplicate
+ * went to another target, the first target would keep an unused session for
+ * hours.
  */
-START_TEST(copy_of_an_opening_goes_to_the_same_target)
+START_TEST(duplicate_opening_goes_to_same_target)
 {
 	fake_t fake;
 	uint64_t first;
@@ -248,10 +248,10 @@
 END_TEST
 
 /*
- * A reading's packet must never reach the map service, not even with a token
- * that is good there.
+ * A packet for the readings service must not reach the maps service, not even
+ * with a token that is valid there.
  */
-START_TEST(token_of_another_service_is_dropped)
+START_TEST(drops_token_of_another_service)
 {
 	dy_token_t token = token_of(21, 201);
 	fake_t fake;
@@ -267,11 +267,11 @@
 END_TEST
 
 /*
- * A target joins, a flow opens there by way of another balancer, and the
- * flow's next packet comes here before the news of the target does. It must
- * go where the token says.
+ * A target joins and a flow opens there through another balancer. The next
+ * packet of the flow arrives here before the membership update. It must be
+ * forwarded to the address in the token.
  */
-START_TEST(unknown_incarnation_is_forwarded_by_its_token)
+START_TEST(forwards_unknown_incarnation_to_address_in_token)
 {
 	dy_token_t token = token_of(13, 300);
 	fake_t fake;
@@ -288,11 +288,11 @@
 END_TEST
 
 /*
- * A target is killed and comes back under the same name. A station's reading
- * was on its way when it died: it may have run. A second run anywhere would
- * double it; a pull may go elsewhere.
+ * A target is killed and restarts under the same name while a reading is in
+ * transit. The reading may have run, and a second run would store it twice; a
+ * pull may go to another target.
  */
-START_TEST(dead_incarnation_gets_may_have_run)
+START_TEST(call_to_dead_incarnation_may_have_run)
 {
 	dy_token_t token = token_of(11, 101);
 	fake_t fake;
@@ -316,12 +316,12 @@
 END_TEST
 
 /*
- * A target stops as planned and hands its sessions over; later its successor
- * stops too. A flow that was silent all the while must be found at the end
- * of the chain, at the same member on every balancer, even after the first
- * two are back under their old names.
+ * A target stops as planned and hands over its sessions; later its successor
+ * stops as well. A flow that was idle meanwhile must be routed to the end of
+ * the chain, to the same member by every balancer, even after the first two
+ * have restarted under their old names.
  */
-START_TEST(planned_stops_are_followed_to_the_successor)
+START_TEST(follows_planned_stops_to_successor)
 {
 	dy_token_t token = token_of(11, 101);
 	uint64_t first[] = { 102 };
@@ -349,11 +349,11 @@
 END_TEST
 
 /*
- * An agent is cut off from control alone and its lease runs out, while
- * balancers still reach it. Its flows must go on. Only when this balancer,
- * too, gets no answer is it taken for lost.
+ * An agent is cut off from control only and its lease expires, while balancers
+ * still reach it. Its flows must continue. It counts as lost only if this
+ * balancer gets no answer either.
  */
-START_TEST(suspect_target_keeps_its_flows_while_it_answers)
+START_TEST(suspect_target_keeps_flows_while_it_answers)
 {
 	dy_token_t token = token_of(11, 101);
 	dy_answer_t answer = { 0 };
@@ -382,9 +382,8 @@
 END_TEST
 
 /*
- * A balancer is cut off from the control group while a new document takes a
- * service away elsewhere. It must not open flows by the old one; flows that
- * are open go on.
+ * A balancer is cut off from the control group while a new document removes a
+ * service. It must not open flows by the old document; open flows continue.
  */
 START_TEST(unconfirmed_balancer_opens_no_flow)
 {
@@ -419,7 +418,7 @@
 }
 END_TEST
 
-/* A session is opened in a domain that its operator has emptied. */
+/* No session may be opened in a domain that an operator has evacuated. */
 START_TEST(evacuated_domain_gets_no_new_session)
 {
 	fake_t fake;
@@ -436,11 +435,11 @@
 END_TEST
 
 /*
- * A target has begun to drain and this balancer does not know yet. The agent
- * gives the opening back; it must go to the other target, and its caller
- * must hear at once when none is left.
+ * A target drains and this balancer has not been told yet. The agent returns
+ * the opening. It must go to the other target, and its caller must be refused
+ * at once when no target is left.
  */
-START_TEST(bounced_opening_goes_elsewhere)
+START_TEST(bounced_opening_goes_to_another_target)
 {
 	dy_bounce_t bounce = { 0 };
 	uint64_t first;
@@ -462,10 +461,10 @@
 END_TEST
 
 /*
- * An agent that joins gets an opening before it has learnt enough to serve,
- * and gives it back. If that were held against its reports, as a refusal
- * with free slots is, it would stay without flows until the other targets
- * are a quarter full: nothing else makes it trusted again.
+ * An agent that has just joined gets an opening before it is ready to serve,
+ * and returns it. If that counted against its load reports, as a refusal
+ * despite free slots does, it would get no flow until the other targets are a
+ * quarter full: nothing else makes the balancer rely on its reports again.
  */
 START_TEST(agent_that_was_not_ready_gets_flows)
 {
@@ -490,11 +489,11 @@
 END_TEST
 
 /*
- * All targets of a service give their openings back, say because a rack's
- * restart left each of them without its target. Tried twice more each, the
- * openings would be three times what callers send, just when it hurts.
+ * All targets of a service return their openings, e.g. because the restart of a
+ * rack left each agent without its target. With two retries each, the openings
+ * would triple at the worst time.
  */
-START_TEST(bounces_are_tried_again_under_a_budget)
+START_TEST(limits_retries_of_bounced_openings)
 {
 	dy_bounce_t bounce = { 0 };
 	unsigned openings = 2000;
@@ -522,10 +521,10 @@
 
 /*
  * Agents restart every day for months. A balancer that kept every old
- * incarnation would grow until it is killed. Those that are over are
- * forgotten after a day, and those that serve never.
+ * incarnation would grow until it is killed. Incarnations that have ended are
+ * dropped after a day, and those that serve are kept.
  */
-START_TEST(members_that_are_over_are_forgotten)
+START_TEST(drops_ended_members_after_a_day)
 {
 	dy_token_t token = token_of(11, 101);
 	fake_t fake;
@@ -548,11 +547,11 @@
 END_TEST
 
 /*
- * A target is away for a minute and its agent gives openings back, saying
- * that it has no slots. When the target is back no flow would ever open
- * there again: only an answer could tell that it has slots.
+ * A target is down for a minute and its agent returns openings with a report of
+ * no slots. Only an answer brings a new report, so without retries the target
+ * would get no flow after it has recovered.
  */
-START_TEST(target_that_comes_back_gets_flows)
+START_TEST(recovered_target_gets_flows)
 {
 	dy_bounce_t bounce = { 0 };
 	unsigned to_first = 0;
@@ -582,10 +581,10 @@
 END_TEST
 
 /*
- * A balancer starts and has the first page of the state: the new start of an
- * agent, not yet the record that its last one left and to whom. A station's
- * flow goes on with the successor, but this balancer would say that it is
- * lost. It must say nothing until it knows all.
+ * A balancer starts and has the first page of the state: the new incarnation of
+ * an agent, but not yet the record that the previous one left, and its
+ * successor. The flow continues at the successor, but this balancer would
+ * declare it lost. It must not answer until its state is complete.
  */
 START_TEST(starting_balancer_declares_no_flow_lost)
 {
@@ -606,7 +605,7 @@
 }
 END_TEST
 
-START_TEST(oversized_and_malformed_calls)
+START_TEST(refuses_oversized_and_drops_malformed_calls)
 {
 	uint8_t bytes[DY_DATAGRAM_BYTES + 1] = { 0 };
 	dy_router_datagram_t datagram = { 0 };
@@ -636,11 +635,11 @@
 END_TEST
 
 /*
- * A new document keeps the service and takes a target's label away. The
- * others' view of load must stay, and the service that is gone must be
- * refused, with a token as may have run.
+ * A new document keeps one service and removes another. The targets of the
+ * first must stay; calls of the removed one must be refused, with a token as
+ * may have run.
  */
-START_TEST(new_document_keeps_and_drops)
+START_TEST(new_document_keeps_and_removes_services)
 {
 	static const char other[] =
 		"[service maps]\naddress = 10.0.0.2:1\nprogram = 0x2A000002\n"
@@ -666,24 +665,24 @@
 int main(void)
 {
 	const TTest *const tests[] = {
-		submission_without_token_is_too_weak,
-		copy_of_an_opening_goes_to_the_same_target,
-		token_of_another_service_is_dropped,
-		unknown_incarnation_is_forwarded_by_its_token,
-		dead_incarnation_gets_may_have_run,
-		planned_stops_are_followed_to_the_successor,
-		suspect_target_keeps_its_flows_while_it_answers,
+		submission_without_token_gets_auth_too_weak,
+		duplicate_opening_goes_to_same_target,
+		drops_token_of_another_service,
+		forwards_unknown_incarnation_to_address_in_token,
+		call_to_dead_incarnation_may_have_run,
+		follows_planned_stops_to_successor,
+		suspect_target_keeps_flows_while_it_answers,
 		unconfirmed_balancer_opens_no_flow,
 		draining_target_gets_no_new_flow,
 		evacuated_domain_gets_no_new_session,
-		bounced_opening_goes_elsewhere,
-		bounces_are_tried_again_under_a_budget,
-		members_that_are_over_are_forgotten,
+		bounced_opening_goes_to_another_target,
+		limits_retries_of_bounced_openings,
+		drops_ended_members_after_a_day,
 		starting_balancer_declares_no_flow_lost,
-		target_that_comes_back_gets_flows,
+		recovered_target_gets_flows,
 		agent_that_was_not_ready_gets_flows,
-		oversized_and_malformed_calls,
-		new_document_keeps_and_drops,
+		refuses_oversized_and_drops_malformed_calls,
+		new_document_keeps_and_removes_services,
 		NULL,
 	};
 
--- a/tests/test_verdict.c
+++ b/tests/test_verdict.c
@@ -2,11 +2,11 @@
 #include "fake_suite.h"
 
 /*
- * A caller that is told "not run" sends its reading once more. If a byte of
- * the first had reached the target, the reading would be stored twice. So no
- * event but the target's own word may give that verdict once it was sent.
+ * A caller that receives "not run" sends its reading once more. If a byte of
+ * the first call had reached the target, the reading would be stored twice.
+ * Once a call was sent, only the target's own report may give that verdict.
  */
-START_TEST(not_run_only_if_it_cannot_have_run)
+START_TEST(sent_call_is_not_run_only_if_target_reports_it)
 {
 	dy_decision_t decision;
 	int event;
@@ -20,8 +20,8 @@
 }
 END_TEST
 
-/* Nothing that is with the target is needed to refuse what is not. */
-START_TEST(unsent_never_may_have_run)
+/* A call that was never sent is refused as not run, whatever the event. */
+START_TEST(unsent_call_is_not_run)
 {
 	dy_decision_t decision;
 	int stage;
@@ -39,7 +39,7 @@
 }
 END_TEST
 
-START_TEST(done_stays_done)
+START_TEST(event_after_end_is_not_final)
 {
 	int event;
 
@@ -49,7 +49,7 @@
 }
 END_TEST
 
-START_TEST(sent_table)
+START_TEST(decides_each_event_of_sent_call)
 {
 	static const struct {
 		dy_call_event_t event;
@@ -101,10 +101,10 @@
 int main(void)
 {
 	const TTest *const tests[] = {
-		not_run_only_if_it_cannot_have_run,
-		unsent_never_may_have_run,
-		done_stays_done,
-		sent_table,
+		sent_call_is_not_run_only_if_target_reports_it,
+		unsent_call_is_not_run,
+		event_after_end_is_not_final,
+		decides_each_event_of_sent_call,
 		NULL,
 	};
 
