--- a/src/process/balancer/balancer.c
+++ b/src/process/balancer/balancer.c
@@ -11,27 +11,29 @@
 #include "service_sockets.h"
 
 /*
- * Without a majority's confirmation for this long, in ms, new flows are
- * refused: a document that another part of the group has replaced must not
- * open flows that it no longer allows. Ten polls and more than the time in
- * which a group elects a leader, so that a lost control is not noticed.
+ * Time in ms without confirmation by a majority after which new flows are
+ * refused: a document that the other side of a partition has replaced must not
+ * open flows that the new one forbids. More than ten polls, and more than an
+ * election takes, so that the loss of one control has no effect.
  */
-#define CONFIRMED_MS 6000
+#define CONFIRMATION_TIMEOUT_MS 6000
 
-/* How often that, and silence of targets, is looked at, in ms. */
-#define CHECK_MS 200
+/*
+ * Interval of the checks of confirmation, unanswered targets and stop, in ms.
+ */
+#define CHECK_INTERVAL_MS 200
 
 /*
- * A planned stop: the fabric is told for as long that this balancer is not
- * ready, then it goes once no caller has been heard for the quiet time, and
- * at the latest after the last.
+ * Phases of a planned stop, in ms. For STOP_UNREADY_MS the balancer serves and
+ * reports to the fabric that it is not ready. Then it ends once it has
+ * forwarded nothing for STOP_IDLE_MS, and after STOP_MAX_MS at the latest.
  */
 #define STOP_UNREADY_MS 3000
-#define STOP_QUIET_MS 1000
-#define STOP_LATEST_MS 30000
+#define STOP_IDLE_MS 1000
+#define STOP_MAX_MS 30000
 
-/* Bytes of the largest message to an agent. */
-#define MESSAGE_BYTES (DY_DATAGRAM_BYTES + 512)
+/* Length of the largest message to an agent. */
+#define MAX_MESSAGE_BYTES (DY_DATAGRAM_BYTES + 512)
 
 typedef struct balancer {
 	const dy_balancer_settings_t *settings;
@@ -49,8 +51,8 @@
 	int confirmed;
 	int caught_up;
 	int document_applied;
-	uint64_t stopping_ms;  /* since when; 0: not stopping */
-	uint64_t forwarded_ms; /* the last datagram passed on, either way */
+	uint64_t stop_started_ms; /* start of the stop; 0: not stopping */
+	uint64_t forwarded_ms;	  /* last datagram, in either direction */
 	uint64_t *lease_lapses;
 	uint64_t *document_changes;
 } balancer_t;
@@ -58,7 +60,7 @@
 static void send_forward(void *context, const dy_address_t *to,
 			 dy_forward_t *forward)
 {
-	static uint8_t out[MESSAGE_BYTES];
+	static uint8_t out[MAX_MESSAGE_BYTES];
 	dy_seal_head_t head = { 0, DY_AGENT_PROGRAM, DY_AGENT_FORWARD };
 	balancer_t *balancer = context;
 	size_t len;
@@ -83,10 +85,10 @@
 
 static void receive_answer(balancer_t *balancer, const dy_sealed_t *message)
 {
-	static char room[DY_DATAGRAM_BYTES];
+	static char buffer[DY_DATAGRAM_BYTES];
 	dy_answer_t answer = { 0 };
 
-	answer.datagram.datagram_val = room;
+	answer.datagram.datagram_val = buffer;
 	if (!dy_sealed_fill(message, (xdrproc_t)xdr_dy_answer_t, &answer))
 		return;
 	balancer->forwarded_ms = dy_loop_now_ms(balancer->loop);
@@ -96,10 +98,10 @@
 
 static void receive_bounce(balancer_t *balancer, const dy_sealed_t *message)
 {
-	static char room[DY_DATAGRAM_BYTES];
+	static char buffer[DY_DATAGRAM_BYTES];
 	dy_bounce_t bounce = { 0 };
 
-	bounce.forward.datagram.datagram_val = room;
+	bounce.forward.datagram.datagram_val = buffer;
 	if (!dy_sealed_fill(message, (xdrproc_t)xdr_dy_bounce_t, &bounce))
 		return;
 	dy_router_receive_bounce(balancer->router, &bounce,
@@ -140,13 +142,14 @@
 }
 
 /*
- * Ready only with a document that a majority confirmed lately and that is in
- * force here whole, and with all members that stood in the group's state.
+ * The balancer is ready only if a majority has confirmed its state recently,
+ * the document is applied completely, and all members of the group's state have
+ * been received.
  */
 static void update_ready(balancer_t *balancer)
 {
 	int ready = balancer->confirmed && balancer->caught_up &&
-		    balancer->document_applied && !balancer->stopping_ms &&
+		    balancer->document_applied && !balancer->stop_started_ms &&
 		    dy_keyring_ready(balancer->keyring);
 
 	dy_router_set_confirmed(balancer->router,
@@ -219,9 +222,9 @@
 {
 	balancer_t *balancer = context;
 
-	if (balancer->stopping_ms)
+	if (balancer->stop_started_ms)
 		return;
-	balancer->stopping_ms = dy_loop_now_ms(balancer->loop);
+	balancer->stop_started_ms = dy_loop_now_ms(balancer->loop);
 	dy_log_event(DY_LOG_INFO, "stop_begun", "");
 	dy_subscriber_set_state(balancer->subscriber, DY_MEMBER_DRAINING, NULL,
 				0);
@@ -264,7 +267,8 @@
 {
 	int confirmed;
 
-	confirmed = dy_subscriber_age_ms(balancer->subscriber) < CONFIRMED_MS;
+	confirmed = dy_subscriber_age_ms(balancer->subscriber) <
+		    CONFIRMATION_TIMEOUT_MS;
 	if (confirmed == balancer->confirmed)
 		return;
 	balancer->confirmed = confirmed;
@@ -275,23 +279,22 @@
 	} else {
 		++*balancer->lease_lapses;
 		dy_log_event(DY_LOG_WARN, "lease_lapsed", "ms=%d",
-			     CONFIRMED_MS);
+			     CONFIRMATION_TIMEOUT_MS);
 	}
 }
 
-/* A planned stop ends once callers have found the other balancers. */
+/* Ends a planned stop once callers have moved to other balancers. */
 static void check_stop(balancer_t *balancer)
 {
 	uint64_t now = dy_loop_now_ms(balancer->loop);
 	uint64_t since;
 
-	if (!balancer->stopping_ms)
+	if (!balancer->stop_started_ms)
 		return;
-	since = now - balancer->stopping_ms;
+	since = now - balancer->stop_started_ms;
 	if (since < STOP_UNREADY_MS)
 		return;
-	if (now - balancer->forwarded_ms < STOP_QUIET_MS &&
-	    since < STOP_LATEST_MS)
+	if (now - balancer->forwarded_ms < STOP_IDLE_MS && since < STOP_MAX_MS)
 		return;
 	dy_log_event(DY_LOG_INFO, "stop_ended", "ms=%lu", (unsigned long)since);
 	dy_loop_end(balancer->loop);
@@ -308,7 +311,7 @@
 	check_stop(balancer);
 }
 
-static void create_parts(balancer_t *balancer)
+static void create_components(balancer_t *balancer)
 {
 	const dy_balancer_settings_t *settings = balancer->settings;
 	dy_router_config_t router = { 0 };
@@ -360,7 +363,7 @@
 		     dy_address_format(&balancer->info.address, address));
 }
 
-static void destroy_parts(balancer_t *balancer)
+static void destroy_components(balancer_t *balancer)
 {
 	service_sockets_destroy(balancer->sockets);
 	dy_endpoint_destroy(balancer->endpoint);
@@ -382,16 +385,17 @@
 	if (!dy_secrets_load(&balancer.secrets, settings->member.key_file,
 			     error))
 		return FALSE;
-	create_parts(&balancer);
+	create_components(&balancer);
 	balancer.endpoint =
 		dy_endpoint_create(balancer.loop, &settings->member.listen,
 				   on_message, &balancer, error);
 	if (balancer.endpoint) {
 		subscribe(&balancer);
 		dy_loop_on_stop(balancer.loop, begin_stop, &balancer);
-		dy_loop_every(balancer.loop, CHECK_MS, on_check, &balancer);
+		dy_loop_every(balancer.loop, CHECK_INTERVAL_MS, on_check,
+			      &balancer);
 		dy_loop_run(balancer.loop);
 	}
-	destroy_parts(&balancer);
+	destroy_components(&balancer);
 	return balancer.endpoint != NULL;
 }
--- a/src/process/balancer/balancer.h
+++ b/src/process/balancer/balancer.h
@@ -2,8 +2,8 @@
 #define DAMASKYARD_BALANCER_H
 
 /*
- * The balancer process: sockets for the services of the document in force,
- * the router behind them, and the subscription to control.
+ * The balancer process: sockets for the services of the document in force, the
+ * router, and the subscription to control.
  */
 
 #include <glib.h>
@@ -16,8 +16,8 @@
 } dy_balancer_settings_t;
 
 /*
- * Run until stopped by a signal. Returns FALSE with error set if it cannot
- * start.
+ * Runs a balancer until a signal, a drain or a superseding instance stops it.
+ * Returns FALSE with error set if it cannot start.
  */
 gboolean dy_balancer_run(const dy_balancer_settings_t *settings,
 			 GError **error);
--- a/src/process/balancer/service_sockets.c
+++ b/src/process/balancer/service_sockets.c
@@ -8,14 +8,14 @@
 typedef struct service_socket {
 	dy_list_t link;
 	service_sockets_t *owner;
-	uint64_t number; /* never given twice */
+	uint64_t number; /* never reused */
 	uint64_t service;
-	dy_address_t wanted; /* the document's; the bound one may differ */
+	dy_address_t configured; /* in the document; the bound one may differ */
 	dy_endpoint_t *endpoint;
-	uint64_t idle_ms; /* closed after this quiet time, once retired */
-	uint64_t heard_ms;
+	uint64_t idle_ms; /* idle timeout of a retired socket */
+	uint64_t received_ms;
 	int retired;
-	int taken_over;
+	int address_reassigned;
 } service_socket_t;
 
 struct service_sockets {
@@ -61,13 +61,13 @@
 	g_free(sockets);
 }
 
-static int is_unneeded(const service_socket_t *socket, uint64_t now)
+static int can_close(const service_socket_t *socket, uint64_t now)
 {
-	return socket->taken_over ||
-	       (socket->retired && now - socket->heard_ms > socket->idle_ms);
+	return socket->address_reassigned ||
+	       (socket->retired && now - socket->received_ms > socket->idle_ms);
 }
 
-static void close_unneeded(service_sockets_t *sockets)
+static void close_unused(service_sockets_t *sockets)
 {
 	uint64_t now = dy_loop_now_ms(sockets->loop);
 	service_socket_t *socket;
@@ -77,7 +77,7 @@
 	DY_LIST_EACH_SAFE(pos, tmp, &sockets->sockets)
 	{
 		socket = DY_LIST_ITEM(pos, service_socket_t, link);
-		if (is_unneeded(socket, now))
+		if (can_close(socket, now))
 			close_socket(socket);
 	}
 }
@@ -89,7 +89,7 @@
 	dy_router_datagram_t datagram = { 0 };
 	uint64_t now = dy_loop_now_ms(socket->owner->loop);
 
-	socket->heard_ms = now;
+	socket->received_ms = now;
 	datagram.service = socket->service;
 	datagram.socket = socket->number;
 	dy_address_load(&datagram.caller, from);
@@ -123,19 +123,19 @@
 		socket->endpoint = dy_endpoint_create(
 			sockets->loop, &address, on_datagram, socket, &error);
 	if (!socket->endpoint) {
-		dy_log_event(
-			DY_LOG_ERROR, "service_not_bound",
-			"service=%s error=%s", service->name,
-			dy_log_quote(error ? error->message : "wrong address"));
+		dy_log_event(DY_LOG_ERROR, "service_not_bound",
+			     "service=%s error=%s", service->name,
+			     dy_log_quote(error ? error->message
+						: "invalid bind address"));
 		g_clear_error(&error);
 		g_free(socket);
 		return -1;
 	}
 	socket->number = ++sockets->next_number;
 	socket->service = service->id;
-	socket->wanted = service->address;
+	socket->configured = service->address;
 	socket->idle_ms = (uint64_t)service->session_idle_s * 1000;
-	socket->heard_ms = dy_loop_now_ms(sockets->loop);
+	socket->received_ms = dy_loop_now_ms(sockets->loop);
 	dy_list_append(&sockets->sockets, &socket->link);
 	g_hash_table_insert(sockets->by_number, &socket->number, socket);
 	dy_log_event(
@@ -155,15 +155,17 @@
 	{
 		socket = DY_LIST_ITEM(pos, service_socket_t, link);
 		if (socket->service == service->id &&
-		    dy_address_equal(&socket->wanted, &service->address))
+		    dy_address_equal(&socket->configured, &service->address))
 			return socket;
 	}
 	return NULL;
 }
 
-/* Whether another service has the address of this socket now. */
-static int is_taken_over(const service_socket_t *socket,
-			 const dy_document_t *document)
+/*
+ * Returns 1 if another service of the document has the address of this socket.
+ */
+static int is_address_reassigned(const service_socket_t *socket,
+				 const dy_document_t *document)
 {
 	const dy_service_t *service;
 	unsigned i;
@@ -171,15 +173,16 @@
 	for (i = 0; i < dy_document_service_count(document); i++) {
 		service = dy_document_service(document, i);
 		if (service->id != socket->service &&
-		    dy_address_equal(&service->address, &socket->wanted))
+		    dy_address_equal(&service->address, &socket->configured))
 			return 1;
 	}
 	return 0;
 }
 
 /*
- * Retired first, so that what the document still has is taken back; a socket
- * whose address another service has now must not speak for the old one.
+ * Retires all sockets; service_sockets_apply() reactivates those that the
+ * document still needs. A socket whose address now belongs to another service
+ * is closed at once: it must not serve the old one.
  */
 static void retire_sockets(service_sockets_t *sockets,
 			   const dy_document_t *document)
@@ -191,9 +194,10 @@
 	{
 		socket = DY_LIST_ITEM(pos, service_socket_t, link);
 		socket->retired = 1;
-		socket->taken_over = is_taken_over(socket, document);
+		socket->address_reassigned =
+			is_address_reassigned(socket, document);
 	}
-	close_unneeded(sockets);
+	close_unused(sockets);
 }
 
 unsigned service_sockets_apply(service_sockets_t *sockets,
@@ -229,5 +233,5 @@
 
 void service_sockets_expire(service_sockets_t *sockets)
 {
-	close_unneeded(sockets);
+	close_unused(sockets);
 }
