--- a/include/damaskyard/control.h
+++ b/include/damaskyard/control.h
@@ -36,27 +36,27 @@
  * disappeared gets no new flow after this time. An election, which takes less
  * than 1 s, expires no lease.
  */
-#define DY_LEASE_MS 3000
+#define DY_LEASE_DEFAULT_MS 3000
 
 /*
  * Default retention of the record of a departed member: three times the 4 h
  * after which an idle session is closed, so that no session refers to a member
  * without a record.
  */
-#define DY_MEMBER_KEEP_S 43200
+#define DY_MEMBER_RETENTION_DEFAULT_S 43200
 
 /*
  * Default interval of key rotation: one day. Up to eight keys may be in use, so
  * an operator can add some.
  */
-#define DY_KEY_ROTATION_S 86400
+#define DY_KEY_ROTATION_DEFAULT_S 86400
 
 /*
  * Default time for a new key to reach all members before it becomes active:
  * twenty poll intervals and more than three leases. A member that has not
  * polled in this time is suspect.
  */
-#define DY_KEY_DISTRIBUTE_S 10
+#define DY_KEY_DISTRIBUTE_DEFAULT_S 10
 
 /* Peer addresses by slot, 1 to DY_RAFT_MEMBERS_MAX; port 0: unused slot. */
 typedef struct dy_peers {
@@ -121,9 +121,9 @@
 	 * would otherwise spend seconds after a restart on validating each
 	 * document of its log again.
 	 */
-	int (*check)(void *context, const uint8_t *bytes, size_t size,
-		     char *message, size_t message_size);
-	void *check_context;
+	int (*validate)(void *context, const uint8_t *bytes, size_t size,
+			char *message, size_t message_size);
+	void *validate_context;
 	/*
 	 * Failure domains that operators may evacuate in addition to those of
 	 * members. NULL-terminated, kept by reference; NULL: none.
@@ -153,8 +153,8 @@
 
 /*
  * Starts a planned shutdown: transfers the leadership, answers the pending
- * requests, then ends the loop. Has the type dy_loop_stop_cb_t; its argument is
- * the dy_control_t.
+ * requests, then ends the loop. Has the type dy_loop_signal_cb_t; its argument
+ * is the dy_control_t.
  */
 void dy_control_stop(void *control);
 
--- a/include/damaskyard/drc.h
+++ b/include/damaskyard/drc.h
@@ -8,8 +8,8 @@
  * Failure guarded against: a reading or an edit is stored twice because the
  * caller retransmitted its datagram or the network duplicated it. Three rules
  * prevent this: each non-idempotent call is entered before it is queued; it is
- * kept for DY_RETRANSMIT_MS after its end, whatever the outcome; and a refused
- * call is kept like one that ran.
+ * kept for DY_RETRANSMIT_WINDOW_MS after its end, whatever the outcome; and a
+ * refused call is kept like one that ran.
  *
  * Only the latest few answers are kept in full; of an older call only the
  * verdict is kept. Calls with consecutive xids and the same outcome, as an
@@ -104,7 +104,7 @@
 void dy_drc_refuse(dy_drc_t *drc, uint32_t xid, const dy_refusal_t *refusal,
 		   uint64_t now_ms);
 
-/* Drops entries that ended DY_RETRANSMIT_MS ago or earlier. */
+/* Drops entries that ended DY_RETRANSMIT_WINDOW_MS ago or earlier. */
 void dy_drc_expire(dy_drc_t *drc, uint64_t now_ms);
 
 /* Returns the number of entries; drc may be NULL. */
--- a/include/damaskyard/flow_holder.h
+++ b/include/damaskyard/flow_holder.h
@@ -56,7 +56,7 @@
 #define DY_TARGET_RESPONSE_TIMEOUT_MS 150
 
 /* Idle timeout of an open flow's record in the flow table. */
-#define DY_HELD_IDLE_MS 60000
+#define DY_HELD_FLOW_IDLE_MS 60000
 
 /* Timeout for the caller to complete the handshake of a flow. */
 #define DY_HALF_OPEN_MS 5000
--- a/include/damaskyard/flow_router.h
+++ b/include/damaskyard/flow_router.h
@@ -46,7 +46,7 @@
 	void (*reset)(void *context, const dy_flow_id_t *flow, uint32_t seq);
 	/*
 	 * Requests an early confirmation of the members; see
-	 * dy_flow_router_set_confirmed().
+	 * dy_flow_router_set_members_confirmed().
 	 */
 	void (*confirm_members)(void *context);
 	/* Requests a load report from the agent. */
@@ -93,7 +93,8 @@
  * out of the search. If the members did change, the next packet of the flow
  * starts a new search.
  */
-void dy_flow_router_set_confirmed(dy_flow_router_t *router, uint64_t polled_ms);
+void dy_flow_router_set_members_confirmed(dy_flow_router_t *router,
+					  uint64_t polled_ms);
 
 /* Routes a packet of a caller; bytes is the encoded packet. */
 void dy_flow_router_receive_packet(dy_flow_router_t *router,
--- a/include/damaskyard/flow_rules.h
+++ b/include/damaskyard/flow_rules.h
@@ -73,7 +73,8 @@
  * from the hash of the flow, so that every process draws the same; the others
  * follow in the order of the entry. Writes entry->share_count indices.
  */
-void dy_flow_entry_order(const dy_flow_entry_t *entry, const dy_flow_id_t *flow,
-			 uint8_t order[DY_FLOW_SHARES_MAX]);
+void dy_flow_entry_order_shares(const dy_flow_entry_t *entry,
+				const dy_flow_id_t *flow,
+				uint8_t order[DY_FLOW_SHARES_MAX]);
 
 #endif
--- a/include/damaskyard/flow_targets.h
+++ b/include/damaskyard/flow_targets.h
@@ -161,8 +161,8 @@
 				    const dy_address_t *agent, uint64_t now_ms);
 
 /* Record that a poll sent at polled_ms was answered: members are current. */
-void dy_flow_targets_set_confirmed(dy_flow_targets_t *targets,
-				   uint64_t polled_ms);
+void dy_flow_targets_set_members_confirmed(dy_flow_targets_t *targets,
+					   uint64_t polled_ms);
 
 /* Record a message sent to the agent, which makes the agent report. */
 void dy_flow_targets_note_sent(dy_flow_targets_t *targets,
--- a/include/damaskyard/session.h
+++ b/include/damaskyard/session.h
@@ -58,8 +58,8 @@
 /*
  * Creates a table of at most cap sessions; only sessions that are received by
  * handover may exceed cap. A session expires after idle_ms without a call.
- * idle_ms is raised to DY_RETRANSMIT_MS, because a session must outlive the
- * retransmissions of its calls. seed must be random and new at each start:
+ * idle_ms is raised to DY_RETRANSMIT_WINDOW_MS, because a session must outlive
+ * the retransmissions of its calls. seed must be random and new at each start:
  * session ids derive from it.
  */
 dy_sessions_t *dy_sessions_create(unsigned cap, uint64_t idle_ms,
--- a/src/connection/flow_holder.c
+++ b/src/connection/flow_holder.c
@@ -404,7 +404,7 @@
 void dy_flow_holder_tick(dy_flow_holder_t *holder, uint64_t now_ms)
 {
 	holder_expire_stage(holder, STAGE_HALF_OPEN, DY_HALF_OPEN_MS, now_ms);
-	holder_expire_stage(holder, STAGE_OPEN, DY_HELD_IDLE_MS, now_ms);
+	holder_expire_stage(holder, STAGE_OPEN, DY_HELD_FLOW_IDLE_MS, now_ms);
 	holder_expire_stage(holder, STAGE_ENDED, DY_TIME_WAIT_MS, now_ms);
 	if (holder->ready &&
 	    now_ms - holder->last_notice_ms > DY_NOTICE_TIMEOUT_MS)
--- a/src/process/control/control_poll.c
+++ b/src/process/control/control_poll.c
@@ -27,8 +27,8 @@
 	uint64_t measured_ms =
 		control_poll_queue_interval_ms(control->poll_queue, members);
 
-	return (uint32_t)CLAMP(MAX(bound_ms, measured_ms), DY_POLL_MS,
-			       DY_POLL_MOST_MS);
+	return (uint32_t)CLAMP(MAX(bound_ms, measured_ms), DY_POLL_INTERVAL_MS,
+			       DY_POLL_INTERVAL_MAX_MS);
 }
 
 uint64_t control_lease_ms(const dy_control_t *control)
--- a/src/process/control/operator_api.c
+++ b/src/process/control/operator_api.c
@@ -246,7 +246,7 @@
 	const char *id;
 
 	call = platform_call_find(request, &id);
-	if (call == PLATFORM_CALL_METHOD) {
+	if (call == PLATFORM_CALL_WRONG_METHOD) {
 		dy_http_answer_status(exchange, 405);
 		return;
 	}
@@ -290,7 +290,7 @@
 	api->domain_changes_refused =
 		dy_metrics_counter(metrics, "domain_orders_refused");
 	config.listen = *listen;
-	config.body_max = BODY_MAX_BYTES;
+	config.body_max_bytes = BODY_MAX_BYTES;
 	config.handle = on_request;
 	config.context = api;
 	api->http = dy_http_server_create(loop, metrics, &config, error);
--- a/src/process/group/slot_claim.c
+++ b/src/process/group/slot_claim.c
@@ -53,7 +53,7 @@
 
 static void send_find(slot_claim_t *claim, const dy_address_t *to)
 {
-	dy_seal_head_t head = { 0, DY_GROUP_PROGRAM, DY_GROUP_FIND };
+	dy_seal_header_t head = { 0, DY_GROUP_PROGRAM, DY_GROUP_FIND };
 	uint8_t out[MESSAGE_BYTES];
 	dy_find_t find = { 0 };
 	size_t len;
--- a/src/version/route_table.h
+++ b/src/version/route_table.h
@@ -37,7 +37,7 @@
 
 typedef struct route_service {
 	const dy_service_t *service;
-	dy_pick_target_t *picks; /* parallel to members */
+	dy_pick_target_t *loads; /* parallel to members */
 	route_member_t **members;
 	unsigned count;
 	unsigned capacity;
--- a/tests/fake_group.h
+++ b/tests/fake_group.h
@@ -40,7 +40,7 @@
 	dy_store_t *store;
 	/* NULL while the member is down. */
 	dy_raft_t *raft;
-	int frozen;
+	int paused;
 	/* Datagrams are delivered only within a partition. */
 	int partition;
 	int disk_failed;
--- a/tests/fake_site.c
+++ b/tests/fake_site.c
@@ -164,17 +164,17 @@
 	dy_poll_step_t step = dy_poll_pace_next(&member->pace, now);
 
 	if (site->options.fixed_retry && step == DY_POLL_WAIT &&
-	    member->pace.under_way && !member->confirmed &&
-	    now - member->pace.sent_ms >= DY_POLL_FIRST_TIMEOUT_MS)
+	    member->pace.in_flight && !member->confirmed &&
+	    now - member->pace.last_sent_ms >= DY_POLL_FIRST_TIMEOUT_MS)
 		step = DY_POLL_SEND_NEW;
 	if (step == DY_POLL_WAIT)
 		return;
-	if (member->pace.under_way && !member->leader_named)
+	if (member->pace.in_flight && !member->leader_named)
 		member->control = (member->control + 1) % control_count(site);
 	if (step == DY_POLL_SEND_NEW || site->options.fixed_retry)
 		member->xid++;
 	member->leader_named = 0;
-	dy_poll_pace_sent(&member->pace, step, now);
+	dy_poll_pace_note_sent(&member->pace, step, now);
 	send_request(site, index, KIND_POLL, member->control);
 }
 
@@ -221,7 +221,7 @@
 
 	member->followed_redirect = 0;
 	member->confirmed = 1;
-	dy_poll_pace_answered(&member->pace, poll_ms);
+	dy_poll_pace_note_answer(&member->pace, poll_ms);
 	if (!member->pages_left) {
 		record_served(site, index);
 		return;
@@ -230,14 +230,14 @@
 	if (!site->options.no_images)
 		return;
 	member->pages_left--;
-	dy_poll_pace_hasten(&member->pace, now_ms(site));
+	dy_poll_pace_poll_now(&member->pace, now_ms(site));
 }
 
 static void handle_redirect(fake_site_t *site, unsigned index, int leader)
 {
 	member_t *member = &site->members[index];
 
-	dy_poll_pace_turned_away(&member->pace, now_ms(site));
+	dy_poll_pace_back_off(&member->pace, now_ms(site));
 	if (leader < 0 || (unsigned)leader == member->control) {
 		member->followed_redirect = 0;
 		return;
@@ -246,7 +246,7 @@
 	member->leader_named = 1;
 	start_image(site, index);
 	if (!member->followed_redirect)
-		dy_poll_pace_hasten(&member->pace, now_ms(site));
+		dy_poll_pace_poll_now(&member->pace, now_ms(site));
 	member->followed_redirect = !member->followed_redirect;
 }
 
@@ -258,15 +258,15 @@
 		member->control = datagram->control;
 		member->leader_named = 1;
 		start_image(site, datagram->member);
-		dy_poll_pace_hasten(&member->pace, now_ms(site));
+		dy_poll_pace_poll_now(&member->pace, now_ms(site));
 	} else if (datagram->kind == KIND_PAGE_REPLY) {
 		if (!member->pages_left)
 			return;
 		if (--member->pages_left)
 			request_page(site, datagram->member);
 		else
-			dy_poll_pace_renew(&member->pace);
-	} else if (!member->pace.under_way || datagram->xid != member->xid) {
+			dy_poll_pace_note_change(&member->pace);
+	} else if (!member->pace.in_flight || datagram->xid != member->xid) {
 		return;
 	} else if (datagram->status) {
 		handle_redirect(site, datagram->member, datagram->leader);
@@ -458,8 +458,8 @@
 	uint64_t now_us = now_ms(control->site) * 1000;
 	datagram_t *datagram;
 
-	member->frozen = control->busy_until_us > now_us;
-	if (member->frozen || !member->raft)
+	member->paused = control->busy_until_us > now_us;
+	if (member->paused || !member->raft)
 		return;
 	control->busy_until_us = now_us;
 	update_leadership(control);
--- a/tests/test_control.c
+++ b/tests/test_control.c
@@ -169,8 +169,8 @@
 		 xdrproc_t args_proc, void *args, xdrproc_t proc, void *result,
 		 size_t size)
 {
-	dy_seal_head_t head = { dy_seal_next_xid(fixture->seal), program,
-				procedure };
+	dy_seal_header_t head = { dy_seal_next_xid(fixture->seal), program,
+				  procedure };
 
 	fixture->xid = head.xid;
 	fixture->proc = proc;
@@ -410,7 +410,7 @@
 	fixture_t *fixture = open_fixture(1);
 	dy_poll_result_t joined = poll_served(fixture, "b1");
 	dy_put_t args = { 0 };
-	dy_seal_head_t head = { 7, DY_CONTROL_PROGRAM, DY_CONTROL_POLL };
+	dy_seal_header_t head = { 7, DY_CONTROL_PROGRAM, DY_CONTROL_POLL };
 	size_t len;
 
 	memset(args.digest, 0xff, sizeof(args.digest));
@@ -567,7 +567,7 @@
 	do {
 		dy_status_page_init(&page, from);
 		for (i = 0; i < 10; i++)
-			if (dy_status_page_wants(&page))
+			if (dy_status_page_begin_line(&page))
 				dy_status_page_add(&page, "%s", line);
 		ck_assert_uint_eq(page.used % 1001, 0);
 		from += (unsigned)page.used / 1001;
--- a/tests/test_flow_router.c
+++ b/tests/test_flow_router.c
@@ -294,8 +294,8 @@
 
 	while (fake_router.now_ms < end_ms) {
 		fake_router_receive_report(2);
-		dy_flow_router_set_confirmed(fake_router.router,
-					     fake_router.now_ms);
+		dy_flow_router_set_members_confirmed(fake_router.router,
+						     fake_router.now_ms);
 		fake_router_receive_packet(1, DY_PACKET_ACK, 5);
 		fake_router.now_ms += 100;
 	}
@@ -344,7 +344,8 @@
 	send_requests_beside_silent_agent(DY_FLOW_UNRESPONSIVE_TIMEOUT_MS);
 	fake_router.now_ms += DY_FLOW_UNRESPONSIVE_TIMEOUT_MS;
 	fake_router_receive_report(2);
-	dy_flow_router_set_confirmed(fake_router.router, fake_router.now_ms);
+	dy_flow_router_set_members_confirmed(fake_router.router,
+					     fake_router.now_ms);
 	fake_router_receive_packet(1, DY_PACKET_ACK, 5);
 	ck_assert_uint_eq(fake_router.resets, 0);
 	fake_router_end();
@@ -360,7 +361,8 @@
 	unsigned i;
 
 	begin_with_open_flow(1);
-	dy_flow_router_set_confirmed(fake_router.router, fake_router.now_ms);
+	dy_flow_router_set_members_confirmed(fake_router.router,
+					     fake_router.now_ms);
 	for (i = 0; i < 30; i++) {
 		fake_router_receive_report(2);
 		fake_router_receive_packet(1, DY_PACKET_ACK, 5);
@@ -380,8 +382,8 @@
 	for (i = 0; i < 30; i++) {
 		fake_router_receive_packet(1, DY_PACKET_ACK, 5);
 		fake_router.now_ms += 100;
-		dy_flow_router_set_confirmed(fake_router.router,
-					     fake_router.now_ms);
+		dy_flow_router_set_members_confirmed(fake_router.router,
+						     fake_router.now_ms);
 	}
 	ck_assert_uint_eq(fake_router.resets, 0);
 	fake_router_end();
--- a/tests/test_flow_search.c
+++ b/tests/test_flow_search.c
@@ -196,8 +196,8 @@
 	ck_assert_uint_eq(fake_router.forward.window, 2);
 	fake_router_set_rules(7, "readings", NULL);
 	fake_router_receive_nowhere(1, DY_PACKET_ACK, 1);
-	dy_flow_router_set_confirmed(fake_router.router,
-				     fake_router.now_ms + 1);
+	dy_flow_router_set_members_confirmed(fake_router.router,
+					     fake_router.now_ms + 1);
 	ck_assert_uint_eq(fake_router.resets, 0);
 	fake_router_end();
 }
@@ -270,8 +270,8 @@
 	ck_assert_uint_eq(fake_router.forward.window, 1);
 	ck_assert(fake_router.forward.certain);
 	fake_router_receive_nowhere(1, DY_PACKET_ACK, 1);
-	dy_flow_router_set_confirmed(fake_router.router,
-				     fake_router.now_ms + 1);
+	dy_flow_router_set_members_confirmed(fake_router.router,
+					     fake_router.now_ms + 1);
 	ck_assert_uint_eq(fake_router.resets, 1);
 	fake_router_end();
 }
@@ -294,8 +294,8 @@
 	       sizeof(fake_router.tries[0]));
 	fake_router.forward.tries.tries_len = 1;
 	fake_router_receive_nowhere(1, DY_PACKET_ACK, 1);
-	dy_flow_router_set_confirmed(fake_router.router,
-				     fake_router.now_ms + 1);
+	dy_flow_router_set_members_confirmed(fake_router.router,
+					     fake_router.now_ms + 1);
 	ck_assert_uint_eq(fake_router.resets, 0);
 	ck_assert_uint_eq(fake_router.forwards, 3);
 	ck_assert(dy_address_equal(&fake_router.tries[0], &holder));
@@ -315,11 +315,11 @@
 	fake_router_receive_nowhere(1, DY_PACKET_ACK, 1);
 	ck_assert_uint_eq(fake_router.resets, 0);
 	ck_assert_uint_eq(fake_router.confirm_requests, 1);
-	dy_flow_router_set_confirmed(fake_router.router,
-				     fake_router.now_ms - 1);
+	dy_flow_router_set_members_confirmed(fake_router.router,
+					     fake_router.now_ms - 1);
 	ck_assert_uint_eq(fake_router.resets, 0);
-	dy_flow_router_set_confirmed(fake_router.router,
-				     fake_router.now_ms + 1);
+	dy_flow_router_set_members_confirmed(fake_router.router,
+					     fake_router.now_ms + 1);
 	ck_assert_uint_eq(fake_router.resets, 1);
 	ck_assert_uint_eq(fake_router.reset_seq, 77);
 	fake_router_end();
@@ -332,8 +332,8 @@
 	fake_router_receive_packet(1, DY_PACKET_ACK, 5);
 	fake_router_receive_nowhere(1, DY_PACKET_ACK, 1);
 	fake_router_set_member(3, DY_MEMBER_SERVING, "readings");
-	dy_flow_router_set_confirmed(fake_router.router,
-				     fake_router.now_ms + 1);
+	dy_flow_router_set_members_confirmed(fake_router.router,
+					     fake_router.now_ms + 1);
 	ck_assert_uint_eq(fake_router.resets, 0);
 	fake_router_receive_packet(1, DY_PACKET_ACK, 5);
 	ck_assert_uint_eq(fake_router.forward.tries.tries_len, 3);
@@ -347,8 +347,8 @@
 	fake_router_begin(2);
 	fake_router_receive_packet(1, DY_PACKET_ACK, 5);
 	fake_router_receive_nowhere(1, DY_PACKET_ACK, 0);
-	dy_flow_router_set_confirmed(fake_router.router,
-				     fake_router.now_ms + 1);
+	dy_flow_router_set_members_confirmed(fake_router.router,
+					     fake_router.now_ms + 1);
 	ck_assert_uint_eq(fake_router.resets, 0);
 	ck_assert_uint_eq(fake_router.confirm_requests, 0);
 	fake_router_end();
--- a/tests/test_raft.c
+++ b/tests/test_raft.c
@@ -40,9 +40,9 @@
 	fake_group_commit(group, 3);
 	old = fake_group_leader(group);
 	fake_group_step(group, 30);
-	old->frozen = 1;
+	old->paused = 1;
 	fake_group_commit(group, 3);
-	old->frozen = 0;
+	old->paused = 0;
 	ck_assert_int_eq(dy_raft_role(old->raft), DY_RAFT_LEADER);
 	ck_assert_int_eq(fake_group_read(group, old), DY_RAFT_DONE);
 	/* It flushes before it reads its socket or its clock. */
@@ -242,7 +242,7 @@
 	int i;
 
 	for (i = 0; i < 3; i++)
-		group->members[i].frozen = &group->members[i] != leader;
+		group->members[i].paused = &group->members[i] != leader;
 	commit = dy_raft_commit_index(leader->raft);
 	ck_assert_int_eq(fake_group_propose(group, leader), DY_RAFT_DONE);
 	dy_raft_flush(leader->raft);
@@ -410,10 +410,10 @@
 	fake_group_commit(group, 3);
 	leader = fake_group_leader(group);
 	lost = fake_group_counter(group, "raft_quorum_lost");
-	leader->frozen = 1;
+	leader->paused = 1;
 	for (i = 0; i < 28; i++)
 		fake_group_step(group, 10);
-	leader->frozen = 0;
+	leader->paused = 0;
 	/* Timers run before sockets are read. */
 	dy_raft_tick(leader->raft, group->now_ms + 30);
 	ck_assert_int_eq(dy_raft_role(leader->raft), DY_RAFT_LEADER);
@@ -441,10 +441,10 @@
 	leader = fake_group_leader(group);
 	delayed = fake_group_other_member(group, leader);
 	pre_votes = fake_group_counter(group, "raft_pre_votes");
-	delayed->frozen = 1;
+	delayed->paused = 1;
 	for (i = 0; i < 100; i++)
 		fake_group_step(group, 10);
-	delayed->frozen = 0;
+	delayed->paused = 0;
 	dy_raft_tick(delayed->raft, group->now_ms);
 	ck_assert_int_eq(dy_raft_role(delayed->raft), DY_RAFT_FOLLOWER);
 	fake_group_run(group, 1000);
@@ -467,10 +467,10 @@
 
 	fake_group_commit(group, 3);
 	leader = fake_group_leader(group);
-	leader->frozen = 1;
+	leader->paused = 1;
 	for (i = 0; i < 28; i++)
 		fake_group_step(group, 10);
-	leader->frozen = 0;
+	leader->paused = 0;
 	leader->partition = 1;
 	for (i = 0; i < 60; i++)
 		fake_group_step(group, 10);
--- a/tests/test_raft_member.c
+++ b/tests/test_raft_member.c
@@ -29,7 +29,7 @@
 	request.body.dy_raft_body_t_u.vote.last_index = 1000;
 	request.body.dy_raft_body_t_u.vote.last_term = request.term;
 	for (i = 0; i < 3; i++)
-		group->members[i].frozen = 1;
+		group->members[i].paused = 1;
 	fake_group_wipe(wiped);
 	fake_group_run(group, 50);
 	fake_group_start(wiped);
