--- a/src/process/agent/agent_private.h
+++ b/src/process/agent/agent_private.h
@@ -343,7 +343,7 @@
 				     const dy_handover_result_t *result);
 int agent_successors_pending(const dy_agent_t *agent);
 
-/* agent_leave.c: the drain and the relay of calls to successors. */
+/* agent_drain.c: the drain and the relay of calls to successors. */
 void agent_drain_tick(dy_agent_t *agent);
 /*
  * Relay a call of a moved session to its owner. Returns 0, also if the call
