--- a/src/process/agent/agent_private.h
+++ b/src/process/agent/agent_private.h
@@ -12,8 +12,8 @@
 #include "damaskyard/verdict.h"
 
 /*
- * Maximum number of calls in progress of one session. An ordinary RPC client
- * makes one call at a time.
+ * Maximum number of calls in progress of one session. An ordinary caller makes
+ * one call at a time.
  */
 #define SESSION_CALLS_MAX 64
 
--- a/tests/fake_cluster.c
+++ b/tests/fake_cluster.c
@@ -137,7 +137,7 @@
 
 	while (!condition(cluster, context)) {
 		ck_assert_msg(g_get_monotonic_time() < end_us,
-			      "%s: not within %d ms; see %s", what,
+			      "%s: timed out after %d ms; see %s", what,
 			      FAKE_TIMEOUT_MS, cluster->folder);
 		g_usleep(20000);
 	}
--- a/tests/fake_operator.c
+++ b/tests/fake_operator.c
@@ -171,7 +171,7 @@
 				      strpbrk(control, "0123456789"));
 	char *words[] = { start, " role=voter lag=0 " };
 
-	fake_cluster_await(cluster, "a leader for it", has_leader,
+	fake_cluster_await(cluster, "control follows a leader", has_leader,
 			   (char *)control);
 	fake_cluster_await(cluster, control, has_line, words);
 	g_free(start);
--- a/tests/fake_process.c
+++ b/tests/fake_process.c
@@ -61,7 +61,7 @@
 
 void fake_process_start(fake_process_t *process)
 {
-	ck_assert_msg(!process->pid, "%s runs already", process->name);
+	ck_assert_msg(!process->pid, "%s is already running", process->name);
 	/* A reader must not mistake the output of an earlier run for this. */
 	rename_old_file(process->out);
 	rename_old_file(process->log);
@@ -81,7 +81,7 @@
 
 void fake_process_signal(fake_process_t *process, int number)
 {
-	ck_assert_msg(process->pid, "%s does not run", process->name);
+	ck_assert_msg(process->pid, "%s is not running", process->name);
 	ck_assert_int_eq(kill(process->pid, number), 0);
 }
 
@@ -90,7 +90,7 @@
 	gint64 end_us = g_get_monotonic_time() + timeout_ms * 1000LL;
 	int status = 0;
 
-	ck_assert_msg(process->pid, "%s does not run", process->name);
+	ck_assert_msg(process->pid, "%s is not running", process->name);
 	while (!waitpid(process->pid, &status, WNOHANG)) {
 		ck_assert_msg(g_get_monotonic_time() < end_us,
 			      "%s has not ended within %u ms; see %s",
