--- a/include/damaskyard/address.h
+++ b/include/damaskyard/address.h
@@ -2,9 +2,9 @@
 #define DAMASKYARD_ADDRESS_H
 
 /*
- * Addresses as messages carry them: an IP number of 16 bytes, IPv4 mapped,
- * and a port. Names are never looked up: a process learns its addresses from
- * its settings, as numbers.
+ * IP addresses with a port, in the form that messages carry: 16 bytes of
+ * IPv6 (IPv4 as an IPv4-mapped address) and a port. There is no name lookup:
+ * settings hold numeric addresses only.
  */
 
 #include <netinet/in.h>
@@ -12,32 +12,33 @@
 
 #include "dy_wire.h"
 
-/* Bytes of "[IPv6]:PORT" with its terminating NUL, rounded up. */
+/* Size in bytes of a text "[IPv6]:PORT" with its NUL, rounded up. */
 #define DY_ADDRESS_TEXT_BYTES 64
 
 /*
- * Parse "1.2.3.4:80" or "[::1]:80". Returns 0, or -1 if text is not such an
- * address.
+ * Parse "1.2.3.4:80" or "[::1]:80". Returns 0, or -1 if text has another
+ * form; address is undefined then.
  */
 int dy_address_parse(const char *text, dy_address_t *address);
 
-/* Write address into text, which is returned. */
+/* Format address into text, in the form that is parsed. Returns text. */
 const char *dy_address_format(const dy_address_t *address,
 			      char text[DY_ADDRESS_TEXT_BYTES]);
 
-/* Convert from and to the C library's form. */
+/* Convert from and to a socket address. from must be IPv4 or IPv6. */
 void dy_address_load(dy_address_t *address, const struct sockaddr *from);
 void dy_address_write(const dy_address_t *address, struct sockaddr_storage *to);
 
-/* Set from an IPv4 number and a port, both in host order. */
+/* Set address from an IPv4 address and a port, both in host byte order. */
 void dy_address_set_ipv4(dy_address_t *address, uint32_t ip, uint16_t port);
 
-/* Whether both name the same IP number and port. */
+/* Returns whether both have the same IP address and port. */
 int dy_address_equal(const dy_address_t *a, const dy_address_t *b);
 
 /*
- * Parse a list separated by commas. Returns the number of addresses, at most
- * max, or -1 if one is malformed or there are more than max.
+ * Parse a list separated by commas into addresses, which holds max entries.
+ * Returns the number of addresses, or -1 if one is malformed or there are
+ * more than max.
  */
 int dy_address_parse_list(const char *text, dy_address_t *addresses, int max);
 
--- a/include/damaskyard/invariant.h
+++ b/include/damaskyard/invariant.h
@@ -2,9 +2,9 @@
 #define DAMASKYARD_INVARIANT_H
 
 /*
- * Invariants that hold in every build. One that fails means that state may
- * be wrong already: the process writes one event and aborts, rather than
- * spread it. The group carries on with its other members.
+ * Assertions that are checked in every build. After a failed one the state of
+ * the process may be wrong, so it logs one event and aborts before it sends
+ * wrong state to others. The group goes on with its other members.
  */
 
 #include <stdlib.h>
--- a/include/damaskyard/list.h
+++ b/include/damaskyard/list.h
@@ -2,8 +2,8 @@
 #define DAMASKYARD_LIST_H
 
 /*
- * Intrusive doubly linked list: the link stands inside the item, so that
- * linking allocates nothing and an item can leave its list in one step.
+ * Intrusive doubly linked list: the link is a member of the item, so that
+ * insertion allocates nothing and removal takes constant time.
  *
  *	dy_list_t head;
  *	dy_list_init(&head);
@@ -18,13 +18,15 @@
 	struct dy_list *next;
 } dy_list_t;
 
+/* Returns the item whose link is node. */
 #define DY_LIST_ITEM(node, type, member) \
 	((type *)(void *)((char *)(node)-offsetof(type, member)))
 
+/* Loop over the links of a list. The body must not remove pos. */
 #define DY_LIST_EACH(pos, head) \
 	for ((pos) = (head)->next; (pos) != (head); (pos) = (pos)->next)
 
-/* Allows the body to remove pos. */
+/* The same; the body may remove pos. tmp holds the next link. */
 #define DY_LIST_EACH_SAFE(pos, tmp, head)                                \
 	for ((pos) = (head)->next, (tmp) = (pos)->next; (pos) != (head); \
 	     (pos) = (tmp), (tmp) = (pos)->next)
@@ -48,7 +50,7 @@
 	head->prev = node;
 }
 
-/* Remove node from its list; node is left as an empty list of its own. */
+/* Remove node from its list and make it an empty list. */
 static inline void dy_list_remove(dy_list_t *node)
 {
 	node->prev->next = node->next;
--- a/include/damaskyard/poll_pace.h
+++ b/include/damaskyard/poll_pace.h
@@ -2,22 +2,23 @@
 #define DAMASKYARD_POLL_PACE_H
 
 /*
- * When a member polls control, and how often it asks again.
+ * The times at which a member polls control and retransmits a poll.
  *
- * Load pattern: thousands of members lose control at the same moment, and find
- * it again at the same moment, on small parts of a core. Without this each asks
- * again at a fixed short time; together they ask faster than control can
- * answer, and go on doing so (a retry storm).
+ * Load pattern: thousands of members lose control at the same moment and find
+ * it again at the same moment, while each control has a small share of a
+ * core. Without this, each member retries at a short fixed interval; together
+ * they send polls faster than control can answer, and do not stop (a retry
+ * storm).
  *
- * A poll that is not answered is sent again, to another control, as a copy
- * under its own number: any control's answer to any copy ends it, so that no
- * work of control's is lost to a copy that was sent too soon. The time between
- * copies doubles, with a share drawn at random. A leader that invites this
- * member (invitations.h) is polled at once, so the long times cost nothing
- * where control is up.
+ * An unanswered poll is retransmitted to another control under the same xid.
+ * The answer of any control to any transmission completes the poll, so that a
+ * retransmission that was sent too early does not waste the work of a
+ * control. The retransmission timeout doubles each time, with random jitter.
+ * A leader that invites this member (invitations.h) is polled at once, so
+ * that long timeouts delay nothing while control is up.
  *
- * A plain structure without clock or network: the owner gives the time, in ms,
- * and sends.
+ * The structure uses no clock and no network: the owner passes the monotonic
+ * time in ms and sends the polls.
  */
 
 #include <stdint.h>
@@ -25,90 +26,107 @@
 #include <glib.h>
 
 /*
- * Between two polls, in ms, at least: control sets a longer time where many
- * members poll. A change is in force within a poll and a half where nothing
- * fails; two polls a second of about 300 bytes, and as much back, are 1.2 KB/s
- * of the 3 KB/s that a node may spend.
+ * Minimum interval between polls in ms; control sets a longer one if many
+ * members poll. Without failures a change takes effect within 1.5 intervals.
+ * Two polls per second of about 300 bytes, with answers of the same size, use
+ * 1.2 KB/s of the 3 KB/s that a member may use for control traffic.
  */
 #define DY_POLL_MS 500
 
-/* Polls are never further apart, whatever control says, in ms. */
+/* Upper bound in ms of the interval that control sets. */
 #define DY_POLL_MOST_MS 5000
 
-/* Polls that are pressed for are no nearer than this, in ms. */
+/* Minimum time in ms from the last poll to an early one. */
 #define DY_POLL_PRESSED_MS 50
 
-/* Before the first copy of a poll, in ms: a slow control may be elected. */
+/*
+ * Initial retransmission timeout of a poll in ms, for a member that was
+ * confirmed before. It leaves time for an election at a slow control.
+ */
 #define DY_POLL_TIMEOUT_MS 400
 
 /*
- * The same for a member that was never confirmed, in ms: it serves nobody yet,
- * and the controls may be starting as well. Thirty round trips between failure
- * domains.
+ * The same in ms for a member that was never confirmed. It is shorter because
+ * the member serves no caller yet, and the controls may be starting as well.
+ * It is thirty round trips between failure domains.
  */
 #define DY_POLL_FIRST_TIMEOUT_MS 100
 
-/* After a control that cannot serve said so, in ms; doubles as well. */
+/*
+ * Initial backoff in ms after the answer of a control that cannot serve the
+ * poll. It doubles with each such answer.
+ */
 #define DY_POLL_AGAIN_MS 50
 
-/* The longest time between copies, in ms. */
+/* Upper bound in ms of timeout and backoff, without jitter. */
 #define DY_POLL_RETRY_MOST_MS 1600
 
 /*
- * A poll older than this, in ms, is not sent again, but a new one: its answer
- * would say that control was there when it was first sent.
+ * Time to live of a poll in ms. After it a new poll is sent instead of a
+ * retransmission, because an answer confirms control only for the time of the
+ * first transmission.
  */
 #define DY_POLL_KEPT_MS 1000
 
 typedef enum dy_poll_step {
-	DY_POLL_WAIT,
-	DY_POLL_SEND_NEW,
-	DY_POLL_SEND_COPY
+	DY_POLL_WAIT,	  /* nothing is due */
+	DY_POLL_SEND_NEW, /* under a new xid */
+	DY_POLL_SEND_COPY /* under the same xid */
 } dy_poll_step_t;
 
 typedef struct dy_poll_pace {
 	GRand *rand;
-	uint64_t due_ms;   /* next poll or copy */
-	uint64_t begun_ms; /* the poll under way was first sent */
-	uint64_t sent_ms;  /* it, or its last copy */
-	uint64_t poll_ms;  /* between polls, as control told */
-	uint32_t retry_ms; /* until the next copy, before its random part */
-	uint32_t again_ms; /* the same once a control cannot serve */
-	int under_way;
-	int outdated;  /* what the poll under way says has changed */
-	int confirmed; /* control answered once */
+	uint64_t due_ms;   /* next transmission */
+	uint64_t begun_ms; /* first transmission of the current poll */
+	uint64_t sent_ms;  /* its last transmission */
+	uint64_t poll_ms;  /* interval, as set by control */
+	uint32_t retry_ms; /* next retransmission timeout, without jitter */
+	uint32_t again_ms; /* next backoff, without jitter */
+	int under_way;	   /* a poll waits for its answer */
+	int outdated;	   /* content changed since it was sent */
+	int confirmed;	   /* control has answered at least once */
 } dy_poll_pace_t;
 
-/* seed differs between members. Due at once. */
+/*
+ * Initialize; a first poll is due at once. seed must differ between members.
+ * Free with dy_poll_pace_clear().
+ */
 void dy_poll_pace_init(dy_poll_pace_t *pace, uint32_t seed);
 void dy_poll_pace_clear(dy_poll_pace_t *pace);
 
-/* What is to be done now. */
+/* Returns what the owner must send now. */
 dy_poll_step_t dy_poll_pace_next(const dy_poll_pace_t *pace, uint64_t now_ms);
 
-/* What dy_poll_pace_next() said was done. */
+/* Record that the step that dy_poll_pace_next() returned was done. */
 void dy_poll_pace_sent(dy_poll_pace_t *pace, dy_poll_step_t step,
 		       uint64_t now_ms);
 
-/* The poll was answered; poll_ms is what control told. */
+/* Record the answer to the poll; poll_ms is the interval set by control. */
 void dy_poll_pace_answered(dy_poll_pace_t *pace, uint64_t poll_ms);
 
-/* A control said that it cannot answer; the poll goes on. */
+/*
+ * Record that a control cannot serve the poll, which stays in flight; the
+ * next transmission is due after the backoff.
+ */
 void dy_poll_pace_turned_away(dy_poll_pace_t *pace, uint64_t now_ms);
 
-/* A leader is known now: a copy is due at once. */
+/* Make the next transmission due at once, as when the leader is known. */
 void dy_poll_pace_hasten(dy_poll_pace_t *pace, uint64_t now_ms);
 
 /*
- * What is to be said has changed: a new poll is due at once, or as soon as the
- * one under way is answered, which control may be at work on.
+ * Record that the content of the poll has changed. A new poll is due at once;
+ * if one is in flight, which control may be processing, then as soon as it is
+ * answered.
  */
 void dy_poll_pace_renew(dy_poll_pace_t *pace);
 
-/* Whatever is under way is given up; a new poll is due at once. */
+/* Abandon a poll in flight; a new poll is due at once. */
 void dy_poll_pace_reset(dy_poll_pace_t *pace);
 
-/* Poll as soon as pressed polls may be, if none is under way. */
+/*
+ * Make a poll due DY_POLL_PRESSED_MS after the last transmission, unless one
+ * is in flight or due earlier.
+ */
 void dy_poll_pace_press(dy_poll_pace_t *pace);
 
 #endif
--- a/include/damaskyard/settings.h
+++ b/include/damaskyard/settings.h
@@ -4,16 +4,16 @@
 /*
  * Settings from flags and environment variables, checked at the start.
  *
- * The flag --key-file is also read from DAMASKYARD_KEY_FILE; a flag goes
- * before its variable. A wrong setting is refused with one line that names
- * the setting, its value and what is allowed.
+ * Each flag has a variable: --key-file is also read from DAMASKYARD_KEY_FILE.
+ * A flag takes precedence over its variable. A wrong setting ends in an error
+ * of one line with the setting, its value and what is allowed.
  */
 
 #include <glib.h>
 
 #include "damaskyard/address.h"
 
-/* Addresses in one setting at most, as --controls. */
+/* Maximum number of addresses in one setting, such as --controls. */
 #define DY_SETTING_ADDRESSES 16
 
 typedef struct dy_address_list {
@@ -24,7 +24,7 @@
 typedef enum dy_setting_kind {
 	DY_SETTING_TEXT,    /* char **, freed by dy_settings_clear() */
 	DY_SETTING_NAME,    /* char **: 1 to 63 of a-z 0-9 . _ - */
-	DY_SETTING_CHOICE,  /* char **: one of those in argument, "a|b|c" */
+	DY_SETTING_CHOICE,  /* char **: one of the words of argument, "a|b" */
 	DY_SETTING_NUMBER,  /* uint64_t *, decimal or 0x hexadecimal */
 	DY_SETTING_FLAG,    /* gboolean * */
 	DY_SETTING_ADDRESS, /* dy_address_t * */
@@ -32,14 +32,14 @@
 } dy_setting_kind_t;
 
 typedef struct dy_setting {
-	const char *flag; /* without the dashes */
+	const char *flag; /* without the leading dashes */
 	dy_setting_kind_t kind;
-	void *value;
+	void *value; /* result, of the type that kind says */
 	gboolean required;
-	const char *fallback; /* value if neither is given, or NULL */
+	const char *fallback; /* default, as text; NULL: none */
 	uint64_t least;	      /* numbers only */
 	uint64_t most;	      /* numbers only; 0: no limit */
-	const char *argument; /* in the help: FILE, IP:PORT, ... */
+	const char *argument; /* placeholder in the help: FILE, IP:PORT */
 	const char *help;
 } dy_setting_t;
 
@@ -52,16 +52,18 @@
 GQuark dy_settings_error_quark(void);
 
 /*
- * Load settings (ended by one whose flag is NULL) from argv and the
- * environment. operands takes what is no flag, a NULL-ended vector to free
- * with g_strfreev(); with operands NULL there may be none. --help prints the
- * help and exits 0. Returns FALSE with error set on a wrong setting.
+ * Load settings from argv and the environment. The last entry of settings has
+ * a NULL flag. summary is text of the help. operands receives the arguments
+ * that are not flags, a NULL-terminated vector to free with g_strfreev(); if
+ * operands is NULL, operands are an error. --help prints the help and exits
+ * with 0. Returns TRUE, or FALSE with error set on a wrong setting. Call
+ * dy_settings_clear() in both cases.
  */
 gboolean dy_settings_load(int argc, char **argv, const char *summary,
 			  const dy_setting_t *settings, char ***operands,
 			  GError **error);
 
-/* Free what dy_settings_load() allocated. */
+/* Free the texts that dy_settings_load() stored. */
 void dy_settings_clear(const dy_setting_t *settings);
 
 #endif
--- a/include/damaskyard/status_service.h
+++ b/include/damaskyard/status_service.h
@@ -2,8 +2,8 @@
 #define DAMASKYARD_STATUS_SERVICE_H
 
 /*
- * DY_STATUS_PROGRAM, which every process serves: its counters, as one
- * "counter name=NAME value=N" line each, for `damaskyard status --process`.
+ * The RPC program DY_STATUS_PROGRAM of every process. It returns the counters
+ * as lines "counter name=NAME value=N", for `damaskyard status --process`.
  */
 
 #include <stddef.h>
@@ -12,39 +12,43 @@
 #include "damaskyard/metrics.h"
 #include "damaskyard/seal.h"
 
-/* Bytes of a page of lines at most; INSPECT of control uses the same. */
+/* Maximum size in bytes of a page of lines; control's INSPECT uses it too. */
 #define DY_STATUS_PAGE_BYTES 4096
 
-/* Bytes that an answer needs at most: a page and the heads around it. */
+/* Maximum size in bytes of an answer: a page and its headers. */
 #define DY_STATUS_ANSWER_BYTES (DY_STATUS_PAGE_BYTES + 256)
 
 /*
- * A page of lines being written, from line `from` on. Lines before it are
- * passed over; the page ends at the first line that does not fit.
+ * A page of text lines that starts at line number `from`. Earlier lines are
+ * skipped; the page ends before the first line that does not fit.
  */
 typedef struct dy_status_page {
 	uint32_t from;
-	uint32_t line;
-	int more; /* a line did not fit */
-	size_t used;
+	uint32_t line; /* number of the next line */
+	int more;      /* a line did not fit */
+	size_t used;   /* bytes */
 	char lines[DY_STATUS_PAGE_BYTES];
 } dy_status_page_t;
 
 void dy_status_page_init(dy_status_page_t *page, uint32_t from);
 
 /*
- * Whether the next line is wanted; counts it if not. Saves formatting lines
- * that another page holds.
+ * Count the next line. Returns whether it belongs on this page; the caller
+ * need not format it otherwise.
  */
 int dy_status_page_wants(dy_status_page_t *page);
 
-/* Add the line that dy_status_page_wants() asked for, without a newline. */
+/*
+ * Append a line for which dy_status_page_wants() returned 1. format is that
+ * of printf; the newline is added. Sets more if the line does not fit.
+ */
 void dy_status_page_add(dy_status_page_t *page, const char *format, ...)
 	__attribute__((format(printf, 2, 3)));
 
 /*
- * Answer a call of DY_STATUS_PROGRAM, which message must be. Returns the
- * length of the sealed answer in out, or 0 if there is none to send.
+ * Answer message, which must be a call of DY_STATUS_PROGRAM. Writes the
+ * sealed answer into out, which holds cap bytes. Returns its length, or 0 if
+ * the call is malformed or unknown and gets no answer.
  */
 size_t dy_status_service_answer(dy_seal_t *seal, const dy_metrics_t *metrics,
 				const dy_sealed_t *message, uint8_t *out,
--- a/include/damaskyard/subscriber.h
+++ b/include/damaskyard/subscriber.h
@@ -2,12 +2,14 @@
 #define DAMASKYARD_SUBSCRIBER_H
 
 /*
- * A member's side of control: its lease, and the state that it follows.
+ * A member's subscription to the control group: it holds the member's lease
+ * and follows the group's state.
  *
- * The subscriber polls the control group, finds the leader again after each
- * change of it, and hands what changed to callbacks. Every answer that it
- * takes was confirmed by a majority after the poll arrived, and what it hands
- * on never goes back to an older version. When it polls is poll_pace.h's.
+ * The subscriber polls the control group, finds the new leader after a change
+ * of leader, and passes changes of the state to callbacks. A majority
+ * confirmed each accepted answer after the poll arrived, and the state that
+ * is passed on never goes back to an older version. poll_pace.h sets the
+ * times of polls.
  */
 
 #include <stdint.h>
@@ -21,91 +23,108 @@
 typedef struct dy_subscriber dy_subscriber_t;
 
 /*
- * Each takes what it is given by reference, for the length of the call. Those
- * of which a member has no use may be NULL, all but refused.
+ * Pointer arguments are valid during the call only. Callbacks that a member
+ * does not need may be NULL, except refused.
  */
 typedef struct dy_subscriber_callbacks {
 	/*
-	 * A newer document, whole; its digest has been checked. NULL: this
-	 * member needs none, and none is fetched.
+	 * A newer document, complete and with a verified digest. If NULL, no
+	 * documents are fetched.
 	 */
 	void (*document)(void *context, const dy_document_info_t *info,
 			 const uint8_t *bytes, size_t len);
+	/* A member joined or changed its state. */
 	void (*member)(void *context, const dy_member_t *member);
+	/* A token key was added, activated or retired. */
 	void (*key)(void *context, const dy_key_info_t *key);
-	/* A failure domain was evacuated, or readmitted. */
+	/* A failure domain was evacuated or readmitted. */
 	void (*domain)(void *context, const dy_domain_info_t *domain);
-	/* The incarnation that the group granted to this start. */
+	/* The group granted an incarnation to this start of the member. */
 	void (*granted)(void *context, uint64_t incarnation);
-	/* All that stood in the group's state at one poll has been given. */
+	/* All of the group's state as of one poll has been passed on. */
 	void (*caught_up)(void *context);
-	/* An operator asked for this member's drain. Called once. */
+	/* An operator requested the drain of this member. Called once. */
 	void (*drain)(void *context);
-	/* Another process holds this name now, or status says why not. */
+	/*
+	 * The group refused the poll for the reason in status, for example
+	 * because another process now holds this member's name.
+	 */
 	void (*refused)(void *context, dy_status_t status);
 } dy_subscriber_callbacks_t;
 
 typedef struct dy_subscriber_config {
 	dy_loop_t *loop;
-	dy_endpoint_t *endpoint; /* polls are sent from here */
+	dy_endpoint_t *endpoint; /* sends the polls */
 	dy_seal_t *seal;
 	dy_metrics_t *metrics;
 	const dy_address_list_t *controls;
 	const dy_subscriber_callbacks_t *callbacks;
 	void *context;
-	/* Members that ended before this one heard of them are not told. */
+	/* Omit members that ended before this one learned of them. */
 	int skip_ended;
 } dy_subscriber_config_t;
 
-/* config is copied; what it points to must outlive the subscriber. */
+/*
+ * Create a subscriber, to free with dy_subscriber_destroy(). config is
+ * copied; what it points to must outlive the subscriber. Registers its
+ * counters in the metrics.
+ */
 dy_subscriber_t *dy_subscriber_create(const dy_subscriber_config_t *config);
 void dy_subscriber_destroy(dy_subscriber_t *subscriber);
 
 /*
- * Say what this member is, from now on. info is copied by reference to its
- * strings, which must outlive the subscriber. Polling starts with the first.
+ * Set the description of this member that polls carry. The strings of info
+ * are not copied and must outlive the subscriber. The first call starts
+ * polling.
  */
 void dy_subscriber_set_info(dy_subscriber_t *subscriber,
 			    const dy_member_info_t *info);
 
 /*
- * Say in what state this member is, with its successors if it has left.
- * Polls at once.
+ * Set this member's state, and the incarnations of its count successors if it
+ * has left; count is at most DY_SUCCESSORS_MAX. Polls at once.
  */
 void dy_subscriber_set_state(dy_subscriber_t *subscriber,
 			     dy_member_state_t state,
 			     const uint64_t *successors, unsigned count);
 
 /*
- * Poll now rather than at the next time, for one that waits for a confirmation.
- * At most once in DY_POLL_PRESSED_MS.
+ * Poll before the interval ends, for a caller that waits for a confirmation.
+ * The rate is limited to one poll in DY_POLL_PRESSED_MS.
  */
 void dy_subscriber_press(dy_subscriber_t *subscriber);
 
-/* Say that the document of that number is in force here. Polls at once. */
+/* Report that the document of this number is in effect. Polls at once. */
 void dy_subscriber_set_document(dy_subscriber_t *subscriber, uint64_t number);
 
 /*
- * Join anew, as another start of this member would: for one that has left and
- * whose process goes on. A new incarnation is granted, and all state is given
- * again. Call dy_subscriber_set_info() next.
+ * Join again as a new start of this member, after it has left and while its
+ * process goes on. The group grants a new incarnation, and all state is
+ * passed on again. Call dy_subscriber_set_info() next.
  */
 void dy_subscriber_rejoin(dy_subscriber_t *subscriber);
 
 /*
- * Take a control's answer or invitation. Returns whether it was one; an answer
- * to no poll of this subscriber is ignored.
+ * Process a reply or an invitation of a control. Returns 1, or 0 if message
+ * is a call of another program than DY_MEMBER_PROGRAM. A reply to no request
+ * of this subscriber is ignored.
  */
 int dy_subscriber_receive(dy_subscriber_t *subscriber,
 			  const dy_sealed_t *message);
 
-/* Milliseconds since a majority last confirmed; UINT64_MAX if never. */
+/*
+ * Returns the time in ms since the start of the last poll that a majority
+ * confirmed, or UINT64_MAX if there was none.
+ */
 uint64_t dy_subscriber_age_ms(const dy_subscriber_t *subscriber);
 
-/* Whether the group has taken up the state set last. */
+/* Returns whether the group has confirmed the state set last. */
 int dy_subscriber_settled(const dy_subscriber_t *subscriber);
 
+/* Returns the version of the group's state that has been passed on. */
 uint64_t dy_subscriber_version(const dy_subscriber_t *subscriber);
+
+/* Returns the granted incarnation, or 0 if there is none yet. */
 uint64_t dy_subscriber_incarnation(const dy_subscriber_t *subscriber);
 
 #endif
