--- a/src/process/burn.c
+++ b/src/process/burn.c
@@ -6,14 +6,17 @@
 
 #define MINUTE_MS (60 * UINT64_C(1000))
 
-/* Two rings: minutes for the short windows, half hours for the long ones. */
+/*
+ * Two ring buffers: one-minute buckets for the short windows, half-hour
+ * buckets for the long ones.
+ */
 #define FINE_MS MINUTE_MS
 #define FINE_BUCKETS 61
 #define COARSE_MS (30 * MINUTE_MS)
 #define COARSE_BUCKETS 145
 
 typedef struct bucket {
-	uint64_t period; /* number of its period since the clock's start */
+	uint64_t period_index; /* time divided by the bucket's duration */
 	dy_tally_t tally;
 } bucket_t;
 
@@ -22,13 +25,13 @@
 	bucket_t coarse[COARSE_BUCKETS];
 };
 
-typedef struct window_shape {
+typedef struct window_spec {
 	const char *name;
 	int coarse;
 	unsigned periods;
-} window_shape_t;
+} window_spec_t;
 
-static const window_shape_t shapes[DY_WINDOWS] = {
+static const window_spec_t window_specs[DY_WINDOWS] = {
 	[DY_WINDOW_5M] = { "5m", 0, 5 },
 	[DY_WINDOW_1H] = { "1h", 0, 60 },
 	[DY_WINDOW_6H] = { "6h", 1, 12 },
@@ -45,22 +48,22 @@
 	g_free(burn);
 }
 
-static void add_to(bucket_t *ring, unsigned buckets, uint64_t period,
-		   dy_outcome_t outcome)
+static void add_to_ring(bucket_t *ring, unsigned buckets, uint64_t period,
+			dy_outcome_t outcome)
 {
 	bucket_t *bucket = &ring[period % buckets];
 
-	if (bucket->period != period) {
+	if (bucket->period_index != period) {
 		memset(bucket, 0, sizeof(*bucket));
-		bucket->period = period;
+		bucket->period_index = period;
 	}
 	bucket->tally.counts[outcome]++;
 }
 
 void dy_burn_add(dy_burn_t *burn, dy_outcome_t outcome, uint64_t now_ms)
 {
-	add_to(burn->fine, FINE_BUCKETS, now_ms / FINE_MS, outcome);
-	add_to(burn->coarse, COARSE_BUCKETS, now_ms / COARSE_MS, outcome);
+	add_to_ring(burn->fine, FINE_BUCKETS, now_ms / FINE_MS, outcome);
+	add_to_ring(burn->coarse, COARSE_BUCKETS, now_ms / COARSE_MS, outcome);
 }
 
 static void add_tally(dy_tally_t *sum, const dy_tally_t *tally)
@@ -71,20 +74,23 @@
 		sum->counts[i] += tally->counts[i];
 }
 
-/* The period under way counts as one, so a window is never empty at first. */
+/*
+ * The current, incomplete period counts as one of the window's periods, so
+ * that a window is not empty right after the start.
+ */
 void dy_burn_load(dy_burn_t *burn, dy_window_t window, uint64_t now_ms,
 		  dy_tally_t *tally)
 {
-	const window_shape_t *shape = &shapes[window];
-	bucket_t *ring = shape->coarse ? burn->coarse : burn->fine;
-	unsigned buckets = shape->coarse ? COARSE_BUCKETS : FINE_BUCKETS;
-	uint64_t last = now_ms / (shape->coarse ? COARSE_MS : FINE_MS);
+	const window_spec_t *spec = &window_specs[window];
+	bucket_t *ring = spec->coarse ? burn->coarse : burn->fine;
+	unsigned buckets = spec->coarse ? COARSE_BUCKETS : FINE_BUCKETS;
+	uint64_t last = now_ms / (spec->coarse ? COARSE_MS : FINE_MS);
 	unsigned i;
 
 	memset(tally, 0, sizeof(*tally));
 	for (i = 0; i < buckets; i++)
-		if (ring[i].period <= last &&
-		    last - ring[i].period < shape->periods)
+		if (ring[i].period_index <= last &&
+		    last - ring[i].period_index < spec->periods)
 			add_tally(tally, &ring[i].tally);
 }
 
@@ -119,7 +125,7 @@
 
 const char *dy_window_name(dy_window_t window)
 {
-	return shapes[window].name;
+	return window_specs[window].name;
 }
 
 static void publish_window(dy_metrics_t *metrics, const char *service,
--- a/src/process/document_fetch.c
+++ b/src/process/document_fetch.c
@@ -9,11 +9,11 @@
 #include "damaskyard/log.h"
 
 /*
- * A page that has not come after this, in ms, is asked for elsewhere; doubled
- * with each that was lost in a row. Some times what a control needs to answer
- * all who start at once.
+ * Initial timeout in ms for a page, after which another control is asked. It
+ * doubles with each request that is lost in a row. It is a few times what a
+ * control needs to answer all members that start at once.
  */
-#define AGAIN_MS 100
+#define INITIAL_TIMEOUT_MS 100
 
 struct document_fetch {
 	const document_fetch_callbacks_t *callbacks;
@@ -21,20 +21,20 @@
 	int active;
 	dy_document_info_t info;
 	char *environment;
-	uint64_t newest; /* number of the newest document begun */
+	uint64_t newest_number; /* number of the newest document begun */
 	dy_document_patch_t patch;
-	int has_patch; /* a page has told it */
-	int whole;     /* ask for all of it, the held one did not fit */
-	int refused;   /* the last answer was not found */
-	unsigned lost; /* requests in a row without an answer */
-	uint8_t *run;
-	uint32_t received;
+	int has_patch;	   /* patch was set from a page */
+	int fetch_whole;   /* request it without base, whose patch failed */
+	int not_found;	   /* the last control did not have it */
+	unsigned timeouts; /* requests in a row without an answer */
+	uint8_t *changed;  /* bytes of the patch */
+	uint32_t received; /* bytes of changed */
 	uint32_t xid;
 	uint64_t sent_ms;
-	uint8_t *held; /* the document taken last, for the next patch */
-	uint32_t held_len;
-	uint8_t held_digest[DY_DIGEST_BYTES];
-	uint64_t wrong;
+	uint8_t *base; /* last complete document, base of the next patch */
+	uint32_t base_len;
+	uint8_t base_digest[DY_DIGEST_BYTES];
+	uint64_t digest_mismatches;
 };
 
 document_fetch_t *document_fetch_create(
@@ -47,21 +47,21 @@
 	return fetch;
 }
 
-static void forget_pages(document_fetch_t *fetch)
+static void discard_pages(document_fetch_t *fetch)
 {
-	fetch->refused = 0;
-	g_clear_pointer(&fetch->run, g_free);
+	fetch->not_found = 0;
+	g_clear_pointer(&fetch->changed, g_free);
 	fetch->has_patch = 0;
 	fetch->received = 0;
 }
 
 static void end_fetch(document_fetch_t *fetch)
 {
-	forget_pages(fetch);
+	discard_pages(fetch);
 	g_clear_pointer(&fetch->environment, g_free);
 	fetch->active = 0;
-	fetch->whole = 0;
-	fetch->lost = 0;
+	fetch->fetch_whole = 0;
+	fetch->timeouts = 0;
 }
 
 void document_fetch_destroy(document_fetch_t *fetch)
@@ -69,7 +69,7 @@
 	if (!fetch)
 		return;
 	end_fetch(fetch);
-	g_free(fetch->held);
+	g_free(fetch->base);
 	g_free(fetch);
 }
 
@@ -79,8 +79,8 @@
 
 	request.environment = fetch->environment;
 	memcpy(request.digest, fetch->info.digest, DY_DIGEST_BYTES);
-	if (fetch->held && !fetch->whole)
-		memcpy(request.base, fetch->held_digest, DY_DIGEST_BYTES);
+	if (fetch->base && !fetch->fetch_whole)
+		memcpy(request.base, fetch->base_digest, DY_DIGEST_BYTES);
 	request.offset = fetch->received;
 	fetch->sent_ms = now_ms;
 	fetch->xid = fetch->callbacks->send(fetch->context, &request);
@@ -89,10 +89,11 @@
 void document_fetch_begin(document_fetch_t *fetch,
 			  const dy_document_info_t *info, uint64_t now_ms)
 {
-	if (info->number <= fetch->newest || info->size > DY_DOCUMENT_BYTES)
+	if (info->number <= fetch->newest_number ||
+	    info->size > DY_DOCUMENT_BYTES)
 		return;
 	end_fetch(fetch);
-	fetch->newest = info->number;
+	fetch->newest_number = info->number;
 	fetch->info = *info;
 	fetch->environment = g_strdup(info->environment);
 	fetch->info.environment = fetch->environment;
@@ -103,24 +104,24 @@
 void document_fetch_reset(document_fetch_t *fetch)
 {
 	end_fetch(fetch);
-	if (fetch->newest)
-		fetch->newest--;
+	if (fetch->newest_number)
+		fetch->newest_number--;
 }
 
-/* Ask another control for the whole, at the next tick. */
+/* Request the whole document from another control at the next timeout. */
 static void restart_fetch(document_fetch_t *fetch)
 {
-	forget_pages(fetch);
-	fetch->whole = 1;
-	fetch->callbacks->turn(fetch->context);
+	discard_pages(fetch);
+	fetch->fetch_whole = 1;
+	fetch->callbacks->switch_control(fetch->context);
 }
 
 static int has_digest(const uint8_t *bytes, uint32_t len, const void *digest)
 {
-	uint8_t found[DY_DIGEST_BYTES];
+	uint8_t actual[DY_DIGEST_BYTES];
 
-	dy_document_digest(bytes, len, found);
-	return !memcmp(found, digest, DY_DIGEST_BYTES);
+	dy_document_digest(bytes, len, actual);
+	return !memcmp(actual, digest, DY_DIGEST_BYTES);
 }
 
 static void finish_fetch(document_fetch_t *fetch)
@@ -128,27 +129,27 @@
 	uint32_t len = 0;
 	uint8_t *bytes;
 
-	bytes = dy_document_patch_apply(&fetch->patch, fetch->held,
-					fetch->held_len, fetch->run, &len);
+	bytes = dy_document_patch_apply(&fetch->patch, fetch->base,
+					fetch->base_len, fetch->changed, &len);
 	if (!bytes || !has_digest(bytes, len, fetch->info.digest)) {
-		fetch->wrong++;
+		fetch->digest_mismatches++;
 		dy_log_event(DY_LOG_ERROR, "document_digest_wrong",
 			     "number=%lu", (unsigned long)fetch->info.number);
 		g_free(bytes);
 		restart_fetch(fetch);
 		return;
 	}
-	g_free(fetch->held);
-	fetch->held = bytes;
-	fetch->held_len = len;
-	memcpy(fetch->held_digest, fetch->info.digest, DY_DIGEST_BYTES);
+	g_free(fetch->base);
+	fetch->base = bytes;
+	fetch->base_len = len;
+	memcpy(fetch->base_digest, fetch->info.digest, DY_DIGEST_BYTES);
 	fetch->callbacks->done(fetch->context, &fetch->info, bytes, len);
 	end_fetch(fetch);
 }
 
 /*
- * Another control may hold another base and tell another patch: then what
- * was received so far does not fit, and the fetch begins anew.
+ * Another control may have another base and send another patch. The pages
+ * received so far do not fit it, and the transfer restarts.
  */
 static int accept_patch(document_fetch_t *fetch,
 			const dy_fetch_result_t *result)
@@ -162,12 +163,12 @@
 		return 0;
 	fetch->patch = patch;
 	fetch->has_patch = 1;
-	fetch->run = g_malloc(patch.size + 1);
+	fetch->changed = g_malloc(patch.size + 1);
 	return 1;
 }
 
-static void take_page(document_fetch_t *fetch, const dy_fetch_result_t *result,
-		      uint64_t now_ms)
+static void receive_page(document_fetch_t *fetch,
+			 const dy_fetch_result_t *result, uint64_t now_ms)
 {
 	uint32_t len = result->page.page_len;
 
@@ -177,7 +178,7 @@
 		return;
 	}
 	if (len)
-		memcpy(fetch->run + fetch->received, result->page.page_val,
+		memcpy(fetch->changed + fetch->received, result->page.page_val,
 		       len);
 	fetch->received += len;
 	if (fetch->received == fetch->patch.size)
@@ -186,7 +187,7 @@
 		send_request(fetch, now_ms);
 }
 
-int document_fetch_waits(const document_fetch_t *fetch, uint32_t xid)
+int document_fetch_is_pending(const document_fetch_t *fetch, uint32_t xid)
 {
 	return fetch->active && fetch->xid == xid;
 }
@@ -194,38 +195,38 @@
 int document_fetch_receive(document_fetch_t *fetch, uint32_t xid,
 			   const dy_fetch_result_t *result, uint64_t now_ms)
 {
-	if (!document_fetch_waits(fetch, xid))
+	if (!document_fetch_is_pending(fetch, xid))
 		return 0;
-	fetch->lost = 0;
+	fetch->timeouts = 0;
 	if (result->status == DY_STATUS_OK) {
-		fetch->refused = 0;
-		take_page(fetch, result, now_ms);
+		fetch->not_found = 0;
+		receive_page(fetch, result, now_ms);
 		return 1;
 	}
-	fetch->callbacks->turn(fetch->context);
-	if (!fetch->refused)
+	fetch->callbacks->switch_control(fetch->context);
+	if (!fetch->not_found)
 		send_request(fetch, now_ms);
-	fetch->refused = 1;
+	fetch->not_found = 1;
 	return 1;
 }
 
 void document_fetch_tick(document_fetch_t *fetch, uint64_t now_ms,
-			 uint64_t timeout_ms)
+			 uint64_t max_timeout_ms)
 {
-	uint64_t again_ms = (uint64_t)AGAIN_MS << fetch->lost;
+	uint64_t backoff_ms = (uint64_t)INITIAL_TIMEOUT_MS << fetch->timeouts;
 
 	if (!fetch->active ||
-	    now_ms - fetch->sent_ms < MIN(again_ms, timeout_ms))
+	    now_ms - fetch->sent_ms < MIN(backoff_ms, max_timeout_ms))
 		return;
-	if (again_ms < timeout_ms)
-		fetch->lost++;
-	if (!fetch->refused)
-		fetch->callbacks->turn(fetch->context);
-	fetch->refused = 0;
+	if (backoff_ms < max_timeout_ms)
+		fetch->timeouts++;
+	if (!fetch->not_found)
+		fetch->callbacks->switch_control(fetch->context);
+	fetch->not_found = 0;
 	send_request(fetch, now_ms);
 }
 
-uint64_t document_fetch_wrong(const document_fetch_t *fetch)
+uint64_t document_fetch_digest_mismatches(const document_fetch_t *fetch)
 {
-	return fetch->wrong;
+	return fetch->digest_mismatches;
 }
--- a/src/process/endpoint.c
+++ b/src/process/endpoint.c
@@ -5,9 +5,9 @@
 #include "loop_private.h"
 
 /*
- * Kernel buffers in bytes: 2 MB hold about 20 ms of 100,000 datagrams a
- * second of 1 KB, longer than any turn of the loop. The kernel takes less
- * where its own limit is lower.
+ * Size of the kernel's socket buffers: 2 MB hold about 20 ms of 100,000
+ * datagrams of 1 KB per second, longer than any iteration of the loop. The
+ * kernel reduces it to its own limit.
  */
 #define SOCKET_BUFFER_BYTES (2 * 1024 * 1024)
 
@@ -31,10 +31,10 @@
 }
 
 /*
- * Guards against a process that was stopped and handles, on its return, what
- * has waited in its socket: everything up to the first empty read is
- * dropped. The test stands here as well as in the tick, because sockets are
- * read before timers run.
+ * Guards against a process that was suspended and on its return handles
+ * datagrams that have waited in its socket: everything up to the first empty
+ * read is dropped. The stall is tested here as well as in the tick, because
+ * the loop reads sockets before it runs the timer of the tick.
  */
 static int is_stale(dy_endpoint_t *endpoint)
 {
@@ -78,23 +78,23 @@
 
 static int bind_socket(dy_endpoint_t *endpoint, const dy_address_t *address)
 {
-	struct sockaddr_storage at;
-	int len = sizeof(at);
+	struct sockaddr_storage storage;
+	int len = sizeof(storage);
 	int bytes = SOCKET_BUFFER_BYTES;
 	int error;
 
-	dy_address_write(address, &at);
-	error = uv_udp_bind(&endpoint->udp, (struct sockaddr *)&at, 0);
+	dy_address_write(address, &storage);
+	error = uv_udp_bind(&endpoint->udp, (struct sockaddr *)&storage, 0);
 	if (error)
 		return error;
 	uv_recv_buffer_size((uv_handle_t *)&endpoint->udp, &bytes);
 	bytes = SOCKET_BUFFER_BYTES;
 	uv_send_buffer_size((uv_handle_t *)&endpoint->udp, &bytes);
-	error = uv_udp_getsockname(&endpoint->udp, (struct sockaddr *)&at,
+	error = uv_udp_getsockname(&endpoint->udp, (struct sockaddr *)&storage,
 				   &len);
 	if (error)
 		return error;
-	dy_address_load(&endpoint->address, (struct sockaddr *)&at);
+	dy_address_load(&endpoint->address, (struct sockaddr *)&storage);
 	return uv_udp_recv_start(&endpoint->udp, on_alloc, on_receive);
 }
 
--- a/src/process/image_fetch.c
+++ b/src/process/image_fetch.c
@@ -9,35 +9,35 @@
 	const image_fetch_callbacks_t *callbacks;
 	void *context;
 	document_fetch_t *pages;
-	int under_way;
+	int active;
 	int has_info; /* pages are being fetched */
 	unsigned failures;
-	int refused;  /* the last answer said that there is none */
-	uint32_t xid; /* of the question */
-	uint64_t again_ms;
+	int unavailable;   /* the last answer said that there is no image */
+	uint32_t info_xid; /* of the request for the description */
+	uint64_t timeout_at_ms;
 };
 
-static uint32_t send_page(void *context, dy_fetch_t *request)
+static uint32_t send_page_request(void *context, dy_fetch_t *request)
 {
 	image_fetch_t *fetch = context;
 
-	return fetch->callbacks->page(fetch->context, request);
+	return fetch->callbacks->request_page(fetch->context, request);
 }
 
-/* The next question goes elsewhere; see image_fetch_tick(). */
-static void turn_pages(void *context)
+/* The next timeout starts again at another control; see image_fetch_tick(). */
+static void abandon_pages(void *context)
 {
 	image_fetch_t *fetch = context;
 
 	fetch->has_info = 0;
 }
 
-static void take_image(void *context, const dy_document_info_t *info,
-		       const uint8_t *bytes, size_t len)
+static void finish_image(void *context, const dy_document_info_t *info,
+			 const uint8_t *bytes, size_t len)
 {
 	image_fetch_t *fetch = context;
 
-	fetch->under_way = 0;
+	fetch->active = 0;
 	if (fetch->callbacks->done(fetch->context, bytes, len))
 		return;
 	dy_log_event(DY_LOG_ERROR, "image_refused", "version=%lu",
@@ -45,9 +45,9 @@
 }
 
 static const document_fetch_callbacks_t page_callbacks = {
-	send_page,
-	turn_pages,
-	take_image,
+	send_page_request,
+	abandon_pages,
+	finish_image,
 };
 
 image_fetch_t *image_fetch_create(const image_fetch_callbacks_t *callbacks,
@@ -68,51 +68,53 @@
 	g_free(fetch);
 }
 
-static void wait(image_fetch_t *fetch, uint64_t now_ms)
+static void restart_timeout(image_fetch_t *fetch, uint64_t now_ms)
 {
-	fetch->again_ms = now_ms + (IMAGE_FETCH_AGAIN_MS << fetch->failures);
+	fetch->timeout_at_ms =
+		now_ms + (IMAGE_FETCH_TIMEOUT_MS << fetch->failures);
 }
 
-static void ask(image_fetch_t *fetch, uint64_t now_ms)
+static void request_info(image_fetch_t *fetch, uint64_t now_ms)
 {
 	fetch->has_info = 0;
-	wait(fetch, now_ms);
-	fetch->xid = fetch->callbacks->ask(fetch->context);
+	restart_timeout(fetch, now_ms);
+	fetch->info_xid = fetch->callbacks->request_info(fetch->context);
 }
 
 void image_fetch_begin(image_fetch_t *fetch, uint64_t now_ms)
 {
 	fetch->failures = 0;
-	fetch->under_way = 1;
-	ask(fetch, now_ms);
+	fetch->active = 1;
+	request_info(fetch, now_ms);
 }
 
-int image_fetch_is_under_way(const image_fetch_t *fetch)
+int image_fetch_is_active(const image_fetch_t *fetch)
 {
-	return fetch->under_way;
+	return fetch->active;
 }
 
-int image_fetch_waits(const image_fetch_t *fetch, uint32_t xid)
+int image_fetch_is_pending(const image_fetch_t *fetch, uint32_t xid)
 {
-	return fetch->under_way &&
-	       (fetch->has_info ? document_fetch_waits(fetch->pages, xid)
-				: fetch->xid == xid);
+	return fetch->active &&
+	       (fetch->has_info ? document_fetch_is_pending(fetch->pages, xid)
+				: fetch->info_xid == xid);
 }
 
 /*
- * A control that has just started has no image yet; another one may. The second
- * that refuses in a row is waited for, or all would be asked at once.
+ * A control that has just started has no image yet, but another one may. After
+ * a second refusal in a row the next request waits for the timeout; otherwise
+ * all controls would be asked at once.
  */
-static void ask_elsewhere(image_fetch_t *fetch, uint64_t now_ms)
+static void request_info_elsewhere(image_fetch_t *fetch, uint64_t now_ms)
 {
-	fetch->callbacks->turn(fetch->context);
-	if (!fetch->refused)
-		ask(fetch, now_ms);
-	fetch->refused = !fetch->refused;
+	fetch->callbacks->switch_control(fetch->context);
+	if (!fetch->unavailable)
+		request_info(fetch, now_ms);
+	fetch->unavailable = !fetch->unavailable;
 }
 
-static void take_info(image_fetch_t *fetch, const dy_sealed_t *message,
-		      uint64_t now_ms)
+static void receive_info(image_fetch_t *fetch, const dy_sealed_t *message,
+			 uint64_t now_ms)
 {
 	dy_image_result_t result;
 
@@ -120,11 +122,11 @@
 			    sizeof(result)))
 		return;
 	if (result.status != DY_STATUS_OK) {
-		ask_elsewhere(fetch, now_ms);
+		request_info_elsewhere(fetch, now_ms);
 	} else {
-		fetch->refused = 0;
+		fetch->unavailable = 0;
 		fetch->has_info = 1;
-		/* An image is kept by the control that made it alone. */
+		/* Only the control that created an image stores it. */
 		document_fetch_destroy(fetch->pages);
 		fetch->pages = document_fetch_create(&page_callbacks, fetch);
 		document_fetch_begin(fetch->pages, &result.info, now_ms);
@@ -132,15 +134,15 @@
 	xdr_free((xdrproc_t)xdr_dy_image_result_t, (char *)&result);
 }
 
-static void take_page(image_fetch_t *fetch, const dy_sealed_t *message,
-		      uint64_t now_ms)
+static void receive_page(image_fetch_t *fetch, const dy_sealed_t *message,
+			 uint64_t now_ms)
 {
 	dy_fetch_result_t result;
 
 	if (!dy_sealed_load(message, (xdrproc_t)xdr_dy_fetch_result_t, &result,
 			    sizeof(result)))
 		return;
-	wait(fetch, now_ms);
+	restart_timeout(fetch, now_ms);
 	document_fetch_receive(fetch->pages, message->xid, &result, now_ms);
 	xdr_free((xdrproc_t)xdr_dy_fetch_result_t, (char *)&result);
 }
@@ -149,19 +151,19 @@
 			 uint64_t now_ms)
 {
 	if (fetch->has_info)
-		take_page(fetch, message, now_ms);
+		receive_page(fetch, message, now_ms);
 	else
-		take_info(fetch, message, now_ms);
+		receive_info(fetch, message, now_ms);
 }
 
 void image_fetch_tick(image_fetch_t *fetch, uint64_t now_ms)
 {
-	if (!fetch->under_way || now_ms < fetch->again_ms)
+	if (!fetch->active || now_ms < fetch->timeout_at_ms)
 		return;
-	if (++fetch->failures >= IMAGE_FETCH_TRIES) {
-		fetch->under_way = 0;
+	if (++fetch->failures >= IMAGE_FETCH_ATTEMPTS_MAX) {
+		fetch->active = 0;
 		return;
 	}
-	fetch->callbacks->turn(fetch->context);
-	ask(fetch, now_ms);
+	fetch->callbacks->switch_control(fetch->context);
+	request_info(fetch, now_ms);
 }
--- a/src/process/log.c
+++ b/src/process/log.c
@@ -9,12 +9,12 @@
 #include <time.h>
 #include <unistd.h>
 
-/* A line is cut here, so that one write() keeps it whole in a shared file. */
+/* Maximum size of a line: one write() keeps it whole in a shared file. */
 #define LINE_BYTES 1024
 #define QUOTE_BUFFERS 8
 #define QUOTE_BYTES 120
 
-static dy_log_level_t least_level = DY_LOG_INFO;
+static dy_log_level_t min_level = DY_LOG_INFO;
 static const char *process_role;
 static int descriptor = STDERR_FILENO;
 static int may_block;
@@ -22,9 +22,9 @@
 
 static const char *const level_names[] = { "debug", "info", "warn", "error" };
 
-void dy_log_configure(dy_log_level_t least, const char *role)
+void dy_log_configure(dy_log_level_t min, const char *role)
 {
-	least_level = least;
+	min_level = min;
 	process_role = role;
 }
 
@@ -69,10 +69,10 @@
 
 /*
  * Guards against a reader of the log that stops reading: a full pipe would
- * block the loop, and the process would serve nobody. A line that finds no
- * room is dropped and counted; a pipe that can be written takes a line whole.
+ * block the loop, and the process would serve no caller. A line that would
+ * block is dropped and counted. A writable pipe accepts a whole line.
  */
-static int has_room(void)
+static int is_writable(void)
 {
 	struct pollfd ready = { .fd = descriptor, .events = POLLOUT };
 
@@ -82,20 +82,20 @@
 
 static void write_line(const char *line, size_t len)
 {
-	char note[LINE_BYTES];
+	char notice[LINE_BYTES];
 	size_t used;
 
-	if (!has_room()) {
+	if (!is_writable()) {
 		dropped_lines++;
 		return;
 	}
 	if (dropped_lines) {
-		used = write_prefix(note, DY_LOG_WARN, "log_dropped");
-		used += (size_t)snprintf(note + used, sizeof(note) - used,
+		used = write_prefix(notice, DY_LOG_WARN, "log_dropped");
+		used += (size_t)snprintf(notice + used, sizeof(notice) - used,
 					 " lines=%lu\n",
 					 (unsigned long)dropped_lines);
 		dropped_lines = 0;
-		if (write(descriptor, note, used) < 0 || !has_room())
+		if (write(descriptor, notice, used) < 0 || !is_writable())
 			return;
 	}
 	if (write(descriptor, line, len) < 0)
@@ -110,7 +110,7 @@
 	va_list ap;
 	int n;
 
-	if (level < least_level)
+	if (level < min_level)
 		return;
 	used = write_prefix(line, level, event);
 	if (*pairs && used < LINE_BYTES - 2) {
--- a/src/process/loop.c
+++ b/src/process/loop.c
@@ -6,7 +6,7 @@
 #include "damaskyard/log.h"
 #include "loop_private.h"
 
-/* Eight ticks to a stall. */
+/* Interval of the tick: an eighth of DY_STALL_MS. */
 #define TICK_MS 250
 
 static void close_handle(uv_handle_t *handle, void *context)
--- a/src/process/loop_private.h
+++ b/src/process/loop_private.h
@@ -1,12 +1,14 @@
 #ifndef DAMASKYARD_LOOP_PRIVATE_H
 #define DAMASKYARD_LOOP_PRIVATE_H
 
+/* Internals that loop.c and endpoint.c share. */
+
 #include "damaskyard/list.h"
 #include "damaskyard/loop.h"
 
 /*
- * One receive buffer for all sockets of the loop: libuv splits it into slots
- * of 64 KB, one a datagram, and fills all of them in one system call.
+ * Size of the receive buffer that all sockets of the loop share. libuv splits
+ * it into slots of 64 KB, one per datagram, and fills them in one system call.
  */
 #define DY_LOOP_BUFFER_BYTES (16 * 65536)
 
@@ -27,16 +29,16 @@
 	void *reload_context;
 	dy_list_t timers;
 	uint64_t last_tick_ms;
-	uint64_t stall_generation;
+	uint64_t stall_generation; /* number of stalls seen by the tick */
 	uint64_t *stalls;
 	uint64_t *stalled_datagrams;
 	char *buffer;
-	int stopping;
+	int stopping; /* a stop signal was received */
 	dy_loop_stop_cb_t *stop;
 	void *stop_context;
 };
 
-/* Whether the tick that is due by now has not come for DY_STALL_MS. */
+/* Returns whether the last tick was more than DY_STALL_MS ago. */
 int dy_loop_stalled(const dy_loop_t *loop);
 
 #endif
--- a/src/process/poll_pace.c
+++ b/src/process/poll_pace.c
@@ -24,19 +24,19 @@
 	return DY_POLL_SEND_COPY;
 }
 
-/* Draw from [ms, 1.5 ms), so that members that ask together part. */
-static uint64_t spread(dy_poll_pace_t *pace, uint32_t ms)
+/* Returns ms to 1.5 * ms, to desynchronize members that poll together. */
+static uint64_t add_jitter(dy_poll_pace_t *pace, uint32_t ms)
 {
 	return ms +
 	       (uint64_t)g_rand_int_range(pace->rand, 0, (gint32)ms / 2 + 1);
 }
 
-static void double_time(uint32_t *ms)
+static void double_backoff(uint32_t *ms)
 {
 	*ms = MIN(2 * *ms, DY_POLL_RETRY_MOST_MS);
 }
 
-static void begin(dy_poll_pace_t *pace)
+static void start_poll(dy_poll_pace_t *pace)
 {
 	pace->under_way = 1;
 	pace->retry_ms =
@@ -48,14 +48,14 @@
 		       uint64_t now_ms)
 {
 	if (!pace->under_way)
-		begin(pace);
+		start_poll(pace);
 	if (step == DY_POLL_SEND_NEW) {
 		pace->begun_ms = now_ms;
 		pace->outdated = 0;
 	}
 	pace->sent_ms = now_ms;
-	pace->due_ms = now_ms + spread(pace, pace->retry_ms);
-	double_time(&pace->retry_ms);
+	pace->due_ms = now_ms + add_jitter(pace, pace->retry_ms);
+	double_backoff(&pace->retry_ms);
 }
 
 void dy_poll_pace_answered(dy_poll_pace_t *pace, uint64_t poll_ms)
@@ -68,8 +68,8 @@
 
 void dy_poll_pace_turned_away(dy_poll_pace_t *pace, uint64_t now_ms)
 {
-	pace->due_ms = now_ms + spread(pace, pace->again_ms);
-	double_time(&pace->again_ms);
+	pace->due_ms = now_ms + add_jitter(pace, pace->again_ms);
+	double_backoff(&pace->again_ms);
 }
 
 void dy_poll_pace_hasten(dy_poll_pace_t *pace, uint64_t now_ms)
--- a/src/process/report.c
+++ b/src/process/report.c
@@ -5,8 +5,8 @@
 #include "damaskyard/document.h"
 #include "operator_lines.h"
 
-#define PAGE_BURN 14.4
-#define TICKET_BURN 6.0
+#define PAGE_BURN_RATE 14.4
+#define TICKET_BURN_RATE 6.0
 
 static void destroy_service(gpointer data)
 {
@@ -49,7 +49,7 @@
 	return service;
 }
 
-/* counter is "burn_5m_late:readings" without the service. */
+/* counter is a name without its service, as "burn_5m_late". */
 static void add_counter(report_service_t *service, const char *counter,
 			guint64 value)
 {
@@ -101,23 +101,23 @@
 	g_ptr_array_sort(report->services, compare_services);
 }
 
-static double burn_of(const report_service_t *service, dy_window_t window)
+static double burn_rate(const report_service_t *service, dy_window_t window)
 {
 	return dy_tally_burn(&service->tallies[window], service->objective);
 }
 
 const char *report_alert(const report_service_t *service)
 {
-	if (burn_of(service, DY_WINDOW_5M) > PAGE_BURN &&
-	    burn_of(service, DY_WINDOW_1H) > PAGE_BURN)
+	if (burn_rate(service, DY_WINDOW_5M) > PAGE_BURN_RATE &&
+	    burn_rate(service, DY_WINDOW_1H) > PAGE_BURN_RATE)
 		return "page";
-	if (burn_of(service, DY_WINDOW_1H) > TICKET_BURN &&
-	    burn_of(service, DY_WINDOW_6H) > TICKET_BURN)
+	if (burn_rate(service, DY_WINDOW_1H) > TICKET_BURN_RATE &&
+	    burn_rate(service, DY_WINDOW_6H) > TICKET_BURN_RATE)
 		return "ticket";
 	return "none";
 }
 
 double report_budget_left(const report_service_t *service)
 {
-	return 100 * (1 - burn_of(service, DY_WINDOW_3D));
+	return 100 * (1 - burn_rate(service, DY_WINDOW_3D));
 }
--- a/src/process/report.h
+++ b/src/process/report.h
@@ -2,8 +2,8 @@
 #define DAMASKYARD_REPORT_H
 
 /*
- * The service-level report: what every process of an environment counted,
- * added up by service and held against its objective.
+ * The service-level report: sums the counters of all processes of an
+ * environment for each service and compares them with its objective.
  */
 
 #include <glib.h>
@@ -17,29 +17,37 @@
 } report_service_t;
 
 typedef struct report {
-	GPtrArray *services; /* of report_service_t, in order of name */
-	unsigned processes;
-	unsigned silent; /* of them, that did not answer */
+	GPtrArray *services; /* of report_service_t */
+	unsigned processes;  /* that were asked */
+	unsigned silent;     /* of them, without an answer */
 } report_t;
 
+/* Create an empty report, to free with report_destroy(). */
 report_t *report_create(void);
 void report_destroy(report_t *report);
 
-/* Take one line of a process's counters; other counters are passed over. */
+/*
+ * Add one line "counter name=NAME:SERVICE value=N" of a process. Other lines
+ * and counters are ignored.
+ */
 void report_add_line(report_t *report, const char *line);
 
-/* Sort the services by name. */
+/* Sort the services by name, after the last line. */
 void report_finish(report_t *report);
 
 /*
- * How urgent the burn is: "page" if it uses up 2 % of a month's budget
- * within the hour, and still does (rate 14.4 over 5 min and 1 h); "ticket" if
- * it uses up 5 % within six hours (rate 6 over 1 h and 6 h); else "none".
- * Rates and windows are the customary pairs of service-level alerting.
+ * Returns the alert for a service's burn rate: "page" if it uses up 2 % of a
+ * month's error budget within an hour and still does so (rate above 14.4 over
+ * 5 min and 1 h); "ticket" if it uses up 5 % within six hours (rate above 6
+ * over 1 h and 6 h); else "none". Rates and windows are the customary pairs
+ * of multiwindow burn rate alerts.
  */
 const char *report_alert(const report_service_t *service);
 
-/* Part of the budget of the longest window that is left, in percent. */
+/*
+ * Returns the share of the error budget of the longest window that is left,
+ * in percent; it is negative if more was used than the budget.
+ */
 double report_budget_left(const report_service_t *service);
 
 #endif
--- a/src/process/seal.c
+++ b/src/process/seal.c
@@ -12,20 +12,20 @@
 #define MAC_OFFSET (SEAL_BODY_BYTES - DY_SEAL_MAC_BYTES)
 
 /*
- * Sequence numbers remembered for each sender. A sender counts over all of
- * its receivers, so numbers arrive with gaps; a datagram that comes more
- * than this many numbers late is taken for a replay and is lost, as the
- * network might have lost it.
+ * Size of the replay window of each sender, in sequence numbers. A sender has
+ * one sequence for all of its receivers, so that numbers arrive with gaps. A
+ * datagram that arrives after this many later numbers counts as a replay and
+ * is lost, as it could be on the network.
  */
-#define WINDOW_BITS 1024
+#define REPLAY_WINDOW_BITS 1024
 
 typedef struct replay_window {
 	uint64_t highest;
-	uint64_t bits[WINDOW_BITS / 64];
+	uint64_t bits[REPLAY_WINDOW_BITS / 64];
 } replay_window_t;
 
 struct dy_seal {
-	dy_hmac_t *hmacs[DY_SECRETS_MAX]; /* the first one signs */
+	dy_hmac_t *hmacs[DY_SECRETS_MAX]; /* the first signs messages */
 	int hmac_count;
 	uint64_t sender;
 	uint64_t sequence;
@@ -91,32 +91,32 @@
 }
 
 /*
- * Encode the body behind the head and put the MAC into its place. mac_at is
- * where the seal's MAC, now zero, stands in out.
+ * Encode the body after the header and store the MAC over the whole message.
+ * mac_offset is the position of the MAC in out, where the bytes are zero.
  */
-static size_t finish_message(dy_seal_t *seal, uint8_t *out, size_t head_len,
-			     size_t cap, size_t mac_at, xdrproc_t proc,
+static size_t finish_message(dy_seal_t *seal, uint8_t *out, size_t header_len,
+			     size_t cap, size_t mac_offset, xdrproc_t proc,
 			     void *value)
 {
 	uint8_t mac[DY_SECRET_BYTES];
 	size_t len;
 	XDR xdrs;
 
-	if (!head_len || cap - head_len > UINT32_MAX / 2)
+	if (!header_len || cap - header_len > UINT32_MAX / 2)
 		return 0;
-	xdrmem_create(&xdrs, (char *)out + head_len, (u_int)(cap - head_len),
-		      XDR_ENCODE);
+	xdrmem_create(&xdrs, (char *)out + header_len,
+		      (u_int)(cap - header_len), XDR_ENCODE);
 	if (!proc(&xdrs, value))
 		return 0;
-	len = head_len + xdr_getpos(&xdrs);
+	len = header_len + xdr_getpos(&xdrs);
 	dy_hmac_digest(seal->hmacs[0], out, len, mac);
-	memcpy(out + mac_at, mac, DY_SEAL_MAC_BYTES);
+	memcpy(out + mac_offset, mac, DY_SEAL_MAC_BYTES);
 	return len;
 }
 
-/* Words before the body of a call's credential and of a reply's verifier. */
-#define CALL_SEAL_AT (8 * BYTES_PER_XDR_UNIT)
-#define REPLY_SEAL_AT (5 * BYTES_PER_XDR_UNIT)
+/* Offsets of the body of a call's credential and of a reply's verifier. */
+#define CALL_SEAL_OFFSET (8 * BYTES_PER_XDR_UNIT)
+#define REPLY_SEAL_OFFSET (5 * BYTES_PER_XDR_UNIT)
 
 size_t dy_seal_write_call(dy_seal_t *seal, const dy_seal_head_t *head,
 			  xdrproc_t proc, void *args, uint8_t *out, size_t cap)
@@ -133,7 +133,7 @@
 	call.credential.len = sizeof(body);
 	call.credential.body = body;
 	return finish_message(seal, out, dy_rpc_write_call(&call, out, cap),
-			      cap, CALL_SEAL_AT + MAC_OFFSET, proc, args);
+			      cap, CALL_SEAL_OFFSET + MAC_OFFSET, proc, args);
 }
 
 size_t dy_seal_write_reply(dy_seal_t *seal, uint32_t xid, xdrproc_t proc,
@@ -148,7 +148,8 @@
 	reply.verifier.len = sizeof(body);
 	reply.verifier.body = body;
 	return finish_message(seal, out, dy_rpc_write_reply(&reply, out, cap),
-			      cap, REPLY_SEAL_AT + MAC_OFFSET, proc, results);
+			      cap, REPLY_SEAL_OFFSET + MAC_OFFSET, proc,
+			      results);
 }
 
 static int parse_message(const uint8_t *bytes, size_t len, dy_sealed_t *message,
@@ -180,23 +181,23 @@
 	return 0;
 }
 
-/* The MAC was made while its own bytes were zero; make it so again. */
+/* The MAC was computed with its own bytes set to zero. */
 static int check_mac(dy_seal_t *seal, const uint8_t *bytes, size_t len,
 		     const dy_rpc_auth_t *auth)
 {
 	uint8_t mac[DY_SECRET_BYTES];
-	uint8_t claimed[DY_SEAL_MAC_BYTES];
-	uint8_t *at = (uint8_t *)auth->body + MAC_OFFSET;
+	uint8_t received[DY_SEAL_MAC_BYTES];
+	uint8_t *mac_field = (uint8_t *)auth->body + MAC_OFFSET;
 	int ok = 0;
 	int i;
 
-	memcpy(claimed, at, sizeof(claimed));
-	memset(at, 0, sizeof(claimed));
+	memcpy(received, mac_field, sizeof(received));
+	memset(mac_field, 0, sizeof(received));
 	for (i = 0; i < seal->hmac_count && !ok; i++) {
 		dy_hmac_digest(seal->hmacs[i], bytes, len, mac);
-		ok = dy_mac_equal(mac, claimed, sizeof(claimed));
+		ok = dy_mac_equal(mac, received, sizeof(received));
 	}
-	memcpy(at, claimed, sizeof(claimed));
+	memcpy(mac_field, received, sizeof(received));
 	return ok;
 }
 
@@ -220,36 +221,37 @@
 	uint64_t step = sequence - window->highest;
 	uint64_t i;
 
-	if (step >= WINDOW_BITS)
+	if (step >= REPLAY_WINDOW_BITS)
 		memset(window->bits, 0, sizeof(window->bits));
 	else
 		for (i = window->highest + 1; i <= sequence; i++)
-			window->bits[i % WINDOW_BITS / 64] &=
+			window->bits[i % REPLAY_WINDOW_BITS / 64] &=
 				~(1ULL << (i % 64));
 	window->highest = sequence;
 }
 
 /*
- * Guards against a message recorded on the network and sent once more: its
- * sequence number is either marked already or too old to be told.
+ * Guards against a message that was recorded on the network and sent again:
+ * its sequence number is either marked in the window or older than it.
  */
 static int accept_sequence(replay_window_t *window, uint64_t sequence)
 {
-	uint64_t *word = &window->bits[sequence % WINDOW_BITS / 64];
+	uint64_t *word = &window->bits[sequence % REPLAY_WINDOW_BITS / 64];
 	uint64_t bit = 1ULL << (sequence % 64);
 
 	if (!sequence)
 		return 0;
 	if (sequence > window->highest)
 		advance_window(window, sequence);
-	else if (window->highest - sequence >= WINDOW_BITS || (*word & bit))
+	else if (window->highest - sequence >= REPLAY_WINDOW_BITS ||
+		 (*word & bit))
 		return 0;
 	*word |= bit;
 	return 1;
 }
 
-static dy_seal_status_t drop(dy_seal_t *seal, dy_seal_status_t status,
-			     uint64_t sender)
+static dy_seal_status_t count_drop(dy_seal_t *seal, dy_seal_status_t status,
+				   uint64_t sender)
 {
 	uint64_t now_ms = (uint64_t)g_get_monotonic_time() / 1000;
 	const char *event = "seal_malformed";
@@ -278,44 +280,44 @@
 
 	if (parse_message(bytes, len, message, &auth) ||
 	    auth.flavor != DY_AUTH_SEAL || auth.len != SEAL_BODY_BYTES) {
-		return drop(seal, DY_SEAL_MALFORMED, 0);
+		return count_drop(seal, DY_SEAL_MALFORMED, 0);
 	}
 	xdrmem_create(&xdrs, (char *)auth.body, SEAL_BODY_BYTES, XDR_DECODE);
 	if (!xdr_dy_seal_body_t(&xdrs, &fields)) {
-		return drop(seal, DY_SEAL_MALFORMED, 0);
+		return count_drop(seal, DY_SEAL_MALFORMED, 0);
 	}
 	if (!check_mac(seal, bytes, len, &auth)) {
-		return drop(seal, DY_SEAL_FORGED, fields.sender);
+		return count_drop(seal, DY_SEAL_FORGED, fields.sender);
 	}
 	if (!accept_sequence(find_window(seal, fields.sender),
 			     fields.sequence)) {
-		return drop(seal, DY_SEAL_REPLAYED, fields.sender);
+		return count_drop(seal, DY_SEAL_REPLAYED, fields.sender);
 	}
 	message->sender = fields.sender;
 	return DY_SEAL_OK;
 }
 
 /*
- * Bytes of zero behind a body: fields that an older sender does not have, 16
- * numbers of 64 bits or as many empty strings.
+ * Zero bytes appended to a body, for fields that an older sender does not
+ * have: 16 numbers of 64 bits, or as many empty strings.
  */
-#define GROWTH_BYTES 128
+#define PADDING_BYTES 128
 
-/* The largest datagram of UDP. */
-#define BODY_BYTES 65536
+/* Maximum size of a UDP datagram. */
+#define BODY_MAX_BYTES 65536
 
 int dy_sealed_fill(const dy_sealed_t *message, xdrproc_t proc, void *value)
 {
-	static uint8_t padded[BODY_BYTES + GROWTH_BYTES];
+	static uint8_t padded[BODY_MAX_BYTES + PADDING_BYTES];
 	XDR xdrs;
 
-	if (message->body_len > BODY_BYTES)
+	if (message->body_len > BODY_MAX_BYTES)
 		return 0;
 	if (message->body_len)
 		memcpy(padded, message->body, message->body_len);
-	memset(padded + message->body_len, 0, GROWTH_BYTES);
+	memset(padded + message->body_len, 0, PADDING_BYTES);
 	xdrmem_create(&xdrs, (char *)padded,
-		      (u_int)message->body_len + GROWTH_BYTES, XDR_DECODE);
+		      (u_int)message->body_len + PADDING_BYTES, XDR_DECODE);
 	return proc(&xdrs, value);
 }
 
--- a/src/process/secret.c
+++ b/src/process/secret.c
@@ -109,14 +109,14 @@
 
 void dy_random_fill(void *bytes, size_t len)
 {
-	uint8_t *at = bytes;
+	uint8_t *pos = bytes;
 	ssize_t n;
 
 	while (len) {
-		n = getrandom(at, len, 0);
+		n = getrandom(pos, len, 0);
 		if (n <= 0)
 			g_error("no random bytes from the kernel");
-		at += n;
+		pos += n;
 		len -= (size_t)n;
 	}
 }
--- a/src/process/settings.c
+++ b/src/process/settings.c
@@ -3,7 +3,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* "FLAG" of any setting, with its terminating NUL, as a variable's name. */
+/* Size of an environment variable's name, with its NUL. */
 #define VARIABLE_BYTES 64
 #define SETTINGS_MAX 32
 #define NAME_MAX_BYTES 63
@@ -62,19 +62,19 @@
 			     GError **error)
 {
 	char allowed[96];
-	guint64 most = setting->most ? setting->most : G_MAXUINT64;
+	guint64 max = setting->most ? setting->most : G_MAXUINT64;
 	guint64 number = 0;
 	gboolean hex = g_str_has_prefix(text, "0x");
 
 	if (g_ascii_string_to_unsigned(hex ? text + 2 : text, hex ? 16 : 10,
-				       setting->least, most, &number, NULL)) {
+				       setting->least, max, &number, NULL)) {
 		*(uint64_t *)setting->value = number;
 		return TRUE;
 	}
 	g_snprintf(allowed, sizeof(allowed),
 		   "a whole number from %" G_GUINT64_FORMAT
 		   " to %" G_GUINT64_FORMAT,
-		   setting->least, most);
+		   setting->least, max);
 	return refuse_value(setting, text, allowed, error);
 }
 
--- a/src/process/state_source.c
+++ b/src/process/state_source.c
@@ -12,25 +12,25 @@
 	const state_source_callbacks_t *callbacks;
 	void *context;
 	state_source_controls_t controls;
-	uint32_t drawn;
-	int from_leader; /* documents, in place of the one drawn */
+	uint32_t control_index; /* modulo the number of controls */
+	int from_leader;	/* request documents from the leader */
 	document_fetch_t *document;
 	image_fetch_t *image;
-	const char *environment; /* of the image */
+	const char *environment; /* whose image is fetched */
 	int image_begun;
 };
 
-static const dy_address_t *drawn_control(const state_source_t *source)
+static const dy_address_t *selected_control(const state_source_t *source)
 {
 	const dy_address_list_t *known = source->controls.learned;
 
 	if (!known->count)
-		known = source->controls.told;
-	return &known->items[source->drawn % (uint32_t)known->count];
+		known = source->controls.configured;
+	return &known->items[source->control_index % (uint32_t)known->count];
 }
 
-static uint32_t send_page_of(state_source_t *source, const dy_address_t *to,
-			     dy_fetch_t *request)
+static uint32_t send_page_request(state_source_t *source,
+				  const dy_address_t *to, dy_fetch_t *request)
 {
 	return source->callbacks->send(source->context, to, DY_CONTROL_FETCH,
 				       (xdrproc_t)xdr_dy_fetch_t, request);
@@ -38,27 +38,27 @@
 
 /* Documents. */
 
-static uint32_t ask_document(void *context, dy_fetch_t *request)
+static uint32_t request_document_page(void *context, dy_fetch_t *request)
 {
 	state_source_t *source = context;
 
-	return send_page_of(source,
-			    source->from_leader ? source->controls.leader
-						: drawn_control(source),
-			    request);
+	return send_page_request(source,
+				 source->from_leader ? source->controls.leader
+						     : selected_control(source),
+				 request);
 }
 
-static void turn_document(void *context)
+static void switch_document_control(void *context)
 {
 	state_source_t *source = context;
 
 	source->from_leader = !source->from_leader;
 	if (!source->from_leader)
-		source->drawn++;
+		source->control_index++;
 }
 
-static void take_document(void *context, const dy_document_info_t *info,
-			  const uint8_t *bytes, size_t len)
+static void deliver_document(void *context, const dy_document_info_t *info,
+			     const uint8_t *bytes, size_t len)
 {
 	state_source_t *source = context;
 
@@ -66,36 +66,36 @@
 }
 
 static const document_fetch_callbacks_t document_callbacks = {
-	ask_document,
-	turn_document,
-	take_document,
+	request_document_page,
+	switch_document_control,
+	deliver_document,
 };
 
 /* Images. */
 
-static uint32_t ask_image(void *context)
+static uint32_t request_image_info(void *context)
 {
 	state_source_t *source = context;
 	dy_image_ask_t ask = { (char *)source->environment };
 
-	return source->callbacks->send(source->context, drawn_control(source),
-				       DY_CONTROL_IMAGE,
-				       (xdrproc_t)xdr_dy_image_ask_t, &ask);
+	return source->callbacks->send(
+		source->context, selected_control(source), DY_CONTROL_IMAGE,
+		(xdrproc_t)xdr_dy_image_ask_t, &ask);
 }
 
-static uint32_t ask_image_page(void *context, dy_fetch_t *request)
+static uint32_t request_image_page(void *context, dy_fetch_t *request)
 {
 	state_source_t *source = context;
 
-	return send_page_of(source, drawn_control(source), request);
+	return send_page_request(source, selected_control(source), request);
 }
 
-static void turn_image(void *context)
+static void switch_image_control(void *context)
 {
-	((state_source_t *)context)->drawn++;
+	((state_source_t *)context)->control_index++;
 }
 
-static int take_image(void *context, const uint8_t *bytes, size_t len)
+static int decode_image(void *context, const uint8_t *bytes, size_t len)
 {
 	state_source_t *source = context;
 	GByteArray *plain = dy_document_unpack(bytes, len, DY_DOCUMENT_BYTES);
@@ -116,23 +116,23 @@
 }
 
 static const image_fetch_callbacks_t image_callbacks = {
-	ask_image,
-	ask_image_page,
-	turn_image,
-	take_image,
+	request_image_info,
+	request_image_page,
+	switch_image_control,
+	decode_image,
 };
 
 state_source_t *state_source_create(const state_source_callbacks_t *callbacks,
 				    void *context,
 				    const state_source_controls_t *controls,
-				    uint32_t drawn)
+				    uint32_t control_index)
 {
 	state_source_t *source = g_new0(state_source_t, 1);
 
 	source->callbacks = callbacks;
 	source->context = context;
 	source->controls = *controls;
-	source->drawn = drawn;
+	source->control_index = control_index;
 	source->document = document_fetch_create(&document_callbacks, source);
 	source->image = image_fetch_create(&image_callbacks, source);
 	return source;
@@ -151,8 +151,8 @@
 {
 	document_fetch_reset(source->document);
 	source->image_begun = 0;
-	/* The one that was asked may have given what is too old. */
-	source->drawn++;
+	/* The last control may have sent an image that is too old. */
+	source->control_index++;
 }
 
 void state_source_begin_document(state_source_t *source,
@@ -172,9 +172,9 @@
 	image_fetch_begin(source->image, now_ms);
 }
 
-int state_source_may_give_image(const state_source_t *source)
+int state_source_is_image_possible(const state_source_t *source)
 {
-	return !source->image_begun || image_fetch_is_under_way(source->image);
+	return !source->image_begun || image_fetch_is_active(source->image);
 }
 
 static void receive_page(state_source_t *source, const dy_sealed_t *message,
@@ -192,9 +192,9 @@
 int state_source_receive(state_source_t *source, const dy_sealed_t *message,
 			 uint64_t now_ms)
 {
-	if (document_fetch_waits(source->document, message->xid))
+	if (document_fetch_is_pending(source->document, message->xid))
 		receive_page(source, message, now_ms);
-	else if (image_fetch_waits(source->image, message->xid))
+	else if (image_fetch_is_pending(source->image, message->xid))
 		image_fetch_receive(source->image, message, now_ms);
 	else
 		return 0;
@@ -203,14 +203,14 @@
 
 int state_source_tick(state_source_t *source, uint64_t now_ms)
 {
-	int under_way = image_fetch_is_under_way(source->image);
+	int was_active = image_fetch_is_active(source->image);
 
 	image_fetch_tick(source->image, now_ms);
 	document_fetch_tick(source->document, now_ms, DY_POLL_TIMEOUT_MS);
-	return under_way && !image_fetch_is_under_way(source->image);
+	return was_active && !image_fetch_is_active(source->image);
 }
 
-uint64_t state_source_wrong(const state_source_t *source)
+uint64_t state_source_digest_mismatches(const state_source_t *source)
 {
-	return document_fetch_wrong(source->document);
+	return document_fetch_digest_mismatches(source->document);
 }
--- a/src/process/status_service.c
+++ b/src/process/status_service.c
@@ -26,14 +26,14 @@
 
 void dy_status_page_add(dy_status_page_t *page, const char *format, ...)
 {
-	size_t room = sizeof(page->lines) - page->used;
+	size_t remaining = sizeof(page->lines) - page->used;
 	va_list ap;
 	int len;
 
 	va_start(ap, format);
-	len = vsnprintf(page->lines + page->used, room, format, ap);
+	len = vsnprintf(page->lines + page->used, remaining, format, ap);
 	va_end(ap);
-	if (len < 0 || (size_t)len + 2 > room) {
+	if (len < 0 || (size_t)len + 2 > remaining) {
 		page->lines[page->used] = '\0';
 		page->more = 1;
 		return;
@@ -52,7 +52,7 @@
 				   (unsigned long)value);
 }
 
-static bool_t xdr_nothing(XDR *xdrs, void *value)
+static bool_t xdr_empty(XDR *xdrs, void *value)
 {
 	(void)xdrs;
 	(void)value;
@@ -69,7 +69,7 @@
 
 	if (message->procedure == DY_STATUS_NULL)
 		return dy_seal_write_reply(seal, message->xid,
-					   (xdrproc_t)xdr_nothing, NULL, out,
+					   (xdrproc_t)xdr_empty, NULL, out,
 					   cap);
 	if (message->procedure != DY_STATUS_COUNTERS ||
 	    !dy_sealed_load(message, (xdrproc_t)xdr_dy_inspect_t, &args,
--- a/src/process/subscriber.c
+++ b/src/process/subscriber.c
@@ -5,15 +5,15 @@
 #include "damaskyard/log.h"
 #include "state_source.h"
 
-/* The loop looks this often whether a poll or a page is due, in ms. */
-#define TICK_MS 50
+/* Interval in ms at which due polls and timeouts are checked. */
+#define TICK_INTERVAL_MS 50
 
-/* Bytes of IPv4 and UDP around a datagram, and of them and a seal. */
-#define DATAGRAM_HEAD_BYTES 28
-#define REPLY_HEAD_BYTES (DATAGRAM_HEAD_BYTES + 56)
+/* Header bytes of IPv4 and UDP, and of these and a sealed reply. */
+#define DATAGRAM_HEADER_BYTES 28
+#define REPLY_HEADER_BYTES (DATAGRAM_HEADER_BYTES + 56)
 
-/* Bytes of a poll or a request for a page, with its seal. */
-#define REQUEST_BYTES 4096
+/* Maximum size of a poll or a request for a page, with its seal. */
+#define REQUEST_MAX_BYTES 4096
 
 struct dy_subscriber {
 	dy_subscriber_config_t config;
@@ -29,29 +29,29 @@
 	unsigned successor_count;
 	dy_address_t control;
 	int next_control;
-	int named;    /* the control was named, and not polled since */
-	int followed; /* the control that is polled was named by another */
-	dy_address_list_t learned; /* the group, as its leader named it */
+	int redirected;		   /* control was named and not polled since */
+	int redirect_followed;	   /* control was named by another control */
+	dy_address_list_t learned; /* the group, as reported by its leader */
 	dy_poll_pace_t pace;
-	uint32_t poll_xid;	 /* of the poll under way and its copies */
-	uint64_t polled_version; /* the state that it names */
-	int from_image;		 /* the leader has not gone on from it yet */
-	uint32_t state_generation;
+	uint32_t poll_xid;	   /* of the poll in flight */
+	uint64_t polled_version;   /* state version sent in it */
+	int from_image;		   /* no answer since the image was applied */
+	uint32_t state_generation; /* counts changes of the content of polls */
 	uint32_t polled_generation;
-	uint32_t settled_generation;
+	uint32_t confirmed_generation;
 	uint64_t confirmed_ms;
 	int confirmed;
-	int drain_told;
+	int drain_reported;
 	state_source_t *source;
 	uint64_t *polls;
 	uint64_t *poll_copies;
-	uint64_t *invited;
+	uint64_t *invitations;
 	uint64_t *stale_answers;
 	uint64_t *bad_documents;
-	uint64_t *unreadable;
+	uint64_t *unreadable_answers;
 	uint64_t *bytes_sent;
 	uint64_t *bytes_received;
-	dy_log_limit_t refused_limit;
+	dy_log_limit_t refusal_log_limit;
 };
 
 static uint64_t now_ms(const dy_subscriber_t *subscriber)
@@ -61,23 +61,24 @@
 
 static void choose_next_control(dy_subscriber_t *subscriber)
 {
-	const dy_address_list_t *told = subscriber->config.controls;
+	const dy_address_list_t *configured = subscriber->config.controls;
 	const dy_address_list_t *learned = &subscriber->learned;
-	int next =
-		(subscriber->next_control + 1) % (told->count + learned->count);
+	int next = (subscriber->next_control + 1) %
+		   (configured->count + learned->count);
 
 	subscriber->next_control = next;
-	subscriber->control = next < learned->count
-				      ? learned->items[next]
-				      : told->items[next - learned->count];
+	subscriber->control =
+		next < learned->count
+			? learned->items[next]
+			: configured->items[next - learned->count];
 }
 
 /*
- * Guards against a group whose members were replaced one by one, until none
- * of the addresses in the settings answers any more.
+ * Guards against a group whose members were replaced one by one, until no
+ * address in the settings answers any more.
  */
-static void learn_controls(dy_subscriber_t *subscriber,
-			   const dy_poll_result_t *result)
+static void update_controls(dy_subscriber_t *subscriber,
+			    const dy_poll_result_t *result)
 {
 	dy_address_list_t *learned = &subscriber->learned;
 	u_int count = result->controls.controls_len;
@@ -94,32 +95,33 @@
 			 void *args)
 {
 	dy_seal_head_t head = { xid, DY_CONTROL_PROGRAM, procedure };
-	uint8_t out[REQUEST_BYTES];
+	uint8_t out[REQUEST_MAX_BYTES];
 	size_t len;
 
 	len = dy_seal_write_call(subscriber->config.seal, &head, proc, args,
 				 out, sizeof(out));
 	if (!len)
 		return;
-	*subscriber->bytes_sent += len + DATAGRAM_HEAD_BYTES;
+	*subscriber->bytes_sent += len + DATAGRAM_HEADER_BYTES;
 	dy_endpoint_send_to(subscriber->config.endpoint, out, len, to);
 }
 
 /*
- * Whether the state that this member starts from is to come as an image. What
- * a member wants that keeps those that ended is not in it.
+ * Returns whether this member gets its initial state as an image. An image
+ * does not contain ended members, so that a member that needs these does not
+ * use one.
  */
-static int wants_image(const dy_subscriber_t *subscriber)
+static int needs_image(const dy_subscriber_t *subscriber)
 {
 	return !subscriber->state_version && subscriber->config.skip_ended &&
 	       subscriber->config.callbacks->member &&
-	       state_source_may_give_image(subscriber->source);
+	       state_source_is_image_possible(subscriber->source);
 }
 
-/* A control is there. */
-static void begin_image(dy_subscriber_t *subscriber)
+/* Called when a control is known to be reachable. */
+static void start_image(dy_subscriber_t *subscriber)
 {
-	if (wants_image(subscriber))
+	if (needs_image(subscriber))
 		state_source_begin_image(subscriber->source,
 					 subscriber->info.environment,
 					 now_ms(subscriber));
@@ -137,7 +139,7 @@
 	subscriber->polled_version = subscriber->state_version;
 	poll.state = subscriber->state;
 	poll.skips = subscriber->skips;
-	if (wants_image(subscriber))
+	if (needs_image(subscriber))
 		poll.skips |= DY_SKIP_START;
 	if (subscriber->from_image)
 		poll.skips |= DY_FROM_IMAGE;
@@ -147,8 +149,8 @@
 		     subscriber->poll_xid, (xdrproc_t)xdr_dy_poll_t, &poll);
 }
 
-/* A copy asks another control, unless one was just named. */
-static void take_step(dy_subscriber_t *subscriber, dy_poll_step_t step)
+/* A retransmission goes to another control, or to one that was just named. */
+static void perform_step(dy_subscriber_t *subscriber, dy_poll_step_t step)
 {
 	if (step == DY_POLL_WAIT)
 		return;
@@ -160,9 +162,9 @@
 		++*subscriber->poll_copies;
 	}
 	++*subscriber->polls;
-	if (subscriber->pace.under_way && !subscriber->named)
+	if (subscriber->pace.under_way && !subscriber->redirected)
 		choose_next_control(subscriber);
-	subscriber->named = 0;
+	subscriber->redirected = 0;
 	dy_poll_pace_sent(&subscriber->pace, step, now_ms(subscriber));
 	send_poll(subscriber);
 }
@@ -170,8 +172,8 @@
 static void poll_if_due(dy_subscriber_t *subscriber)
 {
 	if (subscriber->has_info)
-		take_step(subscriber, dy_poll_pace_next(&subscriber->pace,
-							now_ms(subscriber)));
+		perform_step(subscriber, dy_poll_pace_next(&subscriber->pace,
+							   now_ms(subscriber)));
 }
 
 static uint32_t send_for_source(void *context, const dy_address_t *to,
@@ -184,8 +186,8 @@
 	return xid;
 }
 
-static void take_document(void *context, const dy_document_info_t *info,
-			  const uint8_t *bytes, size_t len)
+static void deliver_document(void *context, const dy_document_info_t *info,
+			     const uint8_t *bytes, size_t len)
 {
 	dy_subscriber_t *subscriber = context;
 
@@ -195,29 +197,30 @@
 
 static void apply_delta(dy_subscriber_t *subscriber, const dy_delta_t *delta)
 {
-	const dy_subscriber_callbacks_t *calls = subscriber->config.callbacks;
+	const dy_subscriber_callbacks_t *callbacks =
+		subscriber->config.callbacks;
 	void *context = subscriber->config.context;
 
 	switch (delta->kind) {
 	case DY_DELTA_DOCUMENT:
-		/* A control of an older build sends what is skipped. */
-		if (!calls->document)
+		/* A control of an older build ignores the poll's skips. */
+		if (!callbacks->document)
 			break;
 		state_source_begin_document(subscriber->source,
 					    &delta->dy_delta_t_u.document,
 					    now_ms(subscriber));
 		break;
 	case DY_DELTA_MEMBER:
-		if (calls->member)
-			calls->member(context, &delta->dy_delta_t_u.member);
+		if (callbacks->member)
+			callbacks->member(context, &delta->dy_delta_t_u.member);
 		break;
 	case DY_DELTA_KEY:
-		if (calls->key)
-			calls->key(context, &delta->dy_delta_t_u.key);
+		if (callbacks->key)
+			callbacks->key(context, &delta->dy_delta_t_u.key);
 		break;
 	case DY_DELTA_DOMAIN:
-		if (calls->domain)
-			calls->domain(context, &delta->dy_delta_t_u.domain);
+		if (callbacks->domain)
+			callbacks->domain(context, &delta->dy_delta_t_u.domain);
 		break;
 	}
 }
@@ -232,10 +235,10 @@
 }
 
 /*
- * The image is of a state that a majority acknowledged, but may be old: the
- * leader's answer that follows brings the rest and confirms it.
+ * A majority acknowledged the state in the image, but it may be old. The next
+ * answer of the leader brings the later changes and confirms it.
  */
-static void take_image(void *context, const dy_image_t *image)
+static void apply_image(void *context, const dy_image_t *image)
 {
 	dy_subscriber_t *subscriber = context;
 
@@ -250,11 +253,11 @@
 
 static const state_source_callbacks_t source_callbacks = {
 	send_for_source,
-	take_document,
-	take_image,
+	deliver_document,
+	apply_image,
 };
 
-static void take_grant(dy_subscriber_t *subscriber, uint64_t incarnation)
+static void apply_grant(dy_subscriber_t *subscriber, uint64_t incarnation)
 {
 	if (!incarnation || incarnation == subscriber->incarnation)
 		return;
@@ -266,19 +269,19 @@
 			subscriber->config.context, incarnation);
 }
 
-static void tell_drain(dy_subscriber_t *subscriber)
+static void report_drain(dy_subscriber_t *subscriber)
 {
-	if (subscriber->drain_told)
+	if (subscriber->drain_reported)
 		return;
-	subscriber->drain_told = 1;
+	subscriber->drain_reported = 1;
 	if (subscriber->config.callbacks->drain)
 		subscriber->config.callbacks->drain(subscriber->config.context);
 }
 
 /*
- * Guards against going back to an older state: a control that was rebuilt
- * from nothing, or one that answers late, would show itself by a version
- * below the one held here. Its answer is dropped.
+ * Guards against a return to an older state: the answer of a control that was
+ * rebuilt with empty storage, or a late answer, has a version below this
+ * member's. It is dropped.
  */
 static int is_older(dy_subscriber_t *subscriber, uint64_t version)
 {
@@ -291,27 +294,27 @@
 	return 1;
 }
 
-/* A majority was there, and this member has its place. */
-static void take_confirmation(dy_subscriber_t *subscriber,
-			      const dy_poll_result_t *result)
+/* A majority has confirmed the poll, and with it this member's lease. */
+static void apply_confirmation(dy_subscriber_t *subscriber,
+			       const dy_poll_result_t *result)
 {
-	subscriber->followed = 0;
-	subscriber->named = 0;
+	subscriber->redirect_followed = 0;
+	subscriber->redirected = 0;
 	subscriber->confirmed = 1;
 	subscriber->confirmed_ms = subscriber->pace.begun_ms;
-	subscriber->settled_generation = subscriber->polled_generation;
-	learn_controls(subscriber, result);
-	take_grant(subscriber, result->incarnation);
+	subscriber->confirmed_generation = subscriber->polled_generation;
+	update_controls(subscriber, result);
+	apply_grant(subscriber, result->incarnation);
 	dy_poll_pace_answered(&subscriber->pace, result->poll_ms);
 	if (result->drain)
-		tell_drain(subscriber);
+		report_drain(subscriber);
 }
 
-/* The leader left the state to the image, which may have come first. */
+/* The leader left out the state; the image may have arrived before. */
 static void await_image(dy_subscriber_t *subscriber)
 {
-	begin_image(subscriber);
-	if (!wants_image(subscriber))
+	start_image(subscriber);
+	if (!needs_image(subscriber))
 		dy_poll_pace_hasten(&subscriber->pace, now_ms(subscriber));
 }
 
@@ -320,7 +323,7 @@
 {
 	if (result->more && !result->state_version &&
 	    !subscriber->polled_version) {
-		take_confirmation(subscriber, result);
+		apply_confirmation(subscriber, result);
 		await_image(subscriber);
 		return;
 	}
@@ -328,7 +331,7 @@
 		choose_next_control(subscriber);
 		return;
 	}
-	take_confirmation(subscriber, result);
+	apply_confirmation(subscriber, result);
 	apply_deltas(subscriber, result->deltas.deltas_val,
 		     result->deltas.deltas_len);
 	subscriber->state_version = result->state_version;
@@ -340,56 +343,57 @@
 			subscriber->config.context);
 }
 
-/* Poll that control next. */
-static void name_control(dy_subscriber_t *subscriber,
-			 const dy_address_t *control)
+static void redirect_to(dy_subscriber_t *subscriber,
+			const dy_address_t *control)
 {
 	subscriber->control = *control;
-	subscriber->named = 1;
+	subscriber->redirected = 1;
 }
 
-static int is_polled(const dy_subscriber_t *subscriber,
-		     const dy_address_t *control)
+static int is_current_control(const dy_subscriber_t *subscriber,
+			      const dy_address_t *control)
 {
 	return control->port && dy_address_equal(control, &subscriber->control);
 }
 
 /*
- * The control that was polled does not lead. One that it names is polled at
- * once, so that a member serves as soon as there is a leader; but not if it was
- * itself named so: two controls could each name the other for a while.
+ * The polled control is not the leader. The leader that it names is polled at
+ * once, so that a member can serve as soon as a leader exists. If the polled
+ * control was itself polled at once because another one named it, the backoff
+ * applies: two controls may name each other for a while.
  */
-static void follow_leader(dy_subscriber_t *subscriber,
-			  const dy_address_t *leader)
+static void handle_not_leader(dy_subscriber_t *subscriber,
+			      const dy_address_t *leader)
 {
 	dy_poll_pace_turned_away(&subscriber->pace, now_ms(subscriber));
-	if (!leader->port || is_polled(subscriber, leader)) {
-		subscriber->followed = 0;
+	if (!leader->port || is_current_control(subscriber, leader)) {
+		subscriber->redirect_followed = 0;
 		return;
 	}
-	name_control(subscriber, leader);
-	begin_image(subscriber);
-	if (!subscriber->followed)
+	redirect_to(subscriber, leader);
+	start_image(subscriber);
+	if (!subscriber->redirect_followed)
 		dy_poll_pace_hasten(&subscriber->pace, now_ms(subscriber));
-	subscriber->followed = !subscriber->followed;
+	subscriber->redirect_followed = !subscriber->redirect_followed;
 }
 
 /*
- * The control that was polled cannot serve. If it has just been elected it will
- * soon; another one could only name it again.
+ * The polled control cannot serve yet. If it names itself as leader it was
+ * just elected and will serve soon, so it is polled again after the backoff;
+ * another control would only name it again.
  */
-static void wait_for_leader(dy_subscriber_t *subscriber,
-			    const dy_address_t *leader)
+static void handle_unavailable(dy_subscriber_t *subscriber,
+			       const dy_address_t *leader)
 {
-	subscriber->followed = 0;
-	if (is_polled(subscriber, leader))
-		name_control(subscriber, leader);
+	subscriber->redirect_followed = 0;
+	if (is_current_control(subscriber, leader))
+		redirect_to(subscriber, leader);
 	dy_poll_pace_turned_away(&subscriber->pace, now_ms(subscriber));
 }
 
-static void take_refusal(dy_subscriber_t *subscriber, dy_status_t status)
+static void handle_refusal(dy_subscriber_t *subscriber, dy_status_t status)
 {
-	if (dy_log_allow(&subscriber->refused_limit, "poll_refused",
+	if (dy_log_allow(&subscriber->refusal_log_limit, "poll_refused",
 			 now_ms(subscriber)))
 		dy_log_event(DY_LOG_WARN, "poll_refused", "status=%d", status);
 	subscriber->config.callbacks->refused(subscriber->config.context,
@@ -397,14 +401,14 @@
 }
 
 /*
- * A control of another version of the messages leads. Without a word this
+ * The leader sends another version of the messages. Without a log event this
  * member would lose its lease while the group looks healthy.
  */
 static void note_unreadable(dy_subscriber_t *subscriber)
 {
-	++*subscriber->unreadable;
-	if (dy_log_allow(&subscriber->refused_limit, "poll_answer_unreadable",
-			 now_ms(subscriber)))
+	++*subscriber->unreadable_answers;
+	if (dy_log_allow(&subscriber->refusal_log_limit,
+			 "poll_answer_unreadable", now_ms(subscriber)))
 		dy_log_event(DY_LOG_ERROR, "poll_answer_unreadable", "");
 }
 
@@ -423,14 +427,14 @@
 		apply_result(subscriber, &result);
 		break;
 	case DY_STATUS_NOT_LEADER:
-		follow_leader(subscriber, &result.leader);
+		handle_not_leader(subscriber, &result.leader);
 		break;
 	case DY_STATUS_UNAVAILABLE:
-		wait_for_leader(subscriber, &result.leader);
+		handle_unavailable(subscriber, &result.leader);
 		break;
 	default:
 		dy_poll_pace_answered(&subscriber->pace, result.poll_ms);
-		take_refusal(subscriber, result.status);
+		handle_refusal(subscriber, result.status);
 		break;
 	}
 	xdr_free((xdrproc_t)xdr_dy_poll_result_t, (char *)&result);
@@ -438,8 +442,8 @@
 }
 
 /*
- * A leader calls its members: it is polled at once, whether this member was
- * looking for one or believes that it has one.
+ * A new leader invites its members. It is polled at once, also if this member
+ * already polls another leader.
  */
 static void receive_invitation(dy_subscriber_t *subscriber,
 			       const dy_sealed_t *message)
@@ -449,10 +453,10 @@
 	if (!dy_sealed_fill(message, (xdrproc_t)xdr_dy_invite_t, &invite) ||
 	    !invite.leader.port)
 		return;
-	++*subscriber->invited;
-	subscriber->followed = 0;
-	name_control(subscriber, &invite.leader);
-	begin_image(subscriber);
+	++*subscriber->invitations;
+	subscriber->redirect_followed = 0;
+	redirect_to(subscriber, &invite.leader);
+	start_image(subscriber);
 	dy_poll_pace_hasten(&subscriber->pace, now_ms(subscriber));
 	poll_if_due(subscriber);
 }
@@ -463,7 +467,8 @@
 	if (!state_source_receive(subscriber->source, message,
 				  now_ms(subscriber)))
 		return;
-	*subscriber->bad_documents = state_source_wrong(subscriber->source);
+	*subscriber->bad_documents =
+		state_source_digest_mismatches(subscriber->source);
 	poll_if_due(subscriber);
 }
 
@@ -477,7 +482,7 @@
 			receive_invitation(subscriber, message);
 		return 1;
 	}
-	*subscriber->bytes_received += message->body_len + REPLY_HEAD_BYTES;
+	*subscriber->bytes_received += message->body_len + REPLY_HEADER_BYTES;
 	if (subscriber->pace.under_way && message->xid == subscriber->poll_xid)
 		receive_poll_result(subscriber, message);
 	else
@@ -489,18 +494,19 @@
 {
 	dy_subscriber_t *subscriber = context;
 
-	/* An image that does not come leaves it to the leader. */
+	/* If the image fetch failed, the leader sends the state. */
 	if (state_source_tick(subscriber->source, now_ms(subscriber)))
 		dy_poll_pace_renew(&subscriber->pace);
 	poll_if_due(subscriber);
 }
 
 /*
- * A start's number: the time of day in ms, then random bits. Of two starts at
- * one address the later has the greater one, unless the clock was set back;
- * then it waits until the lease of the first has run out.
+ * Returns the number of this start: the time of day in ms in the upper bits,
+ * random bits in the lower 16. Of two starts at one address the later one has
+ * the greater number. If the clock was set back, the later start waits until
+ * the lease of the earlier one has expired.
  */
-static uint64_t make_boot(void)
+static uint64_t create_boot_id(void)
 {
 	uint16_t random;
 
@@ -513,10 +519,10 @@
 	const dy_metrics_entry_t entries[] = {
 		{ "polls", &subscriber->polls },
 		{ "poll_copies", &subscriber->poll_copies },
-		{ "polls_invited", &subscriber->invited },
+		{ "polls_invited", &subscriber->invitations },
 		{ "stale_state_refused", &subscriber->stale_answers },
 		{ "document_digest_wrong", &subscriber->bad_documents },
-		{ "poll_answers_unreadable", &subscriber->unreadable },
+		{ "poll_answers_unreadable", &subscriber->unreadable_answers },
 		{ "control_bytes_sent", &subscriber->bytes_sent },
 		{ "control_bytes_received", &subscriber->bytes_received },
 	};
@@ -526,21 +532,22 @@
 }
 
 /*
- * What nobody here takes is not asked for: with it the bytes that control sends
- * would grow with the square of the members.
+ * Returns the kinds of state that control leaves out, because the member has
+ * no callback for them. Otherwise the bytes that control sends would grow with
+ * the square of the number of members.
  */
-static uint32_t list_skips(const dy_subscriber_config_t *config)
+static uint32_t build_skips(const dy_subscriber_config_t *config)
 {
-	const dy_subscriber_callbacks_t *calls = config->callbacks;
+	const dy_subscriber_callbacks_t *callbacks = config->callbacks;
 	uint32_t skips = 0;
 
-	if (!calls->member)
+	if (!callbacks->member)
 		skips |= DY_SKIP_MEMBERS;
-	if (!calls->document)
+	if (!callbacks->document)
 		skips |= DY_SKIP_DOCUMENT;
-	if (!calls->key)
+	if (!callbacks->key)
 		skips |= DY_SKIP_KEYS;
-	if (calls->domain)
+	if (callbacks->domain)
 		skips |= DY_TAKES_DOMAINS;
 	if (config->skip_ended)
 		skips |= DY_SKIP_ENDED;
@@ -552,24 +559,24 @@
 	dy_subscriber_t *subscriber = g_new0(dy_subscriber_t, 1);
 	static const dy_log_limit_t limit = DY_LOG_LIMIT_INIT(3, 10000);
 	state_source_controls_t controls;
-	uint32_t start;
+	uint32_t seed;
 
 	subscriber->config = *config;
-	subscriber->skips = list_skips(config);
+	subscriber->skips = build_skips(config);
 	subscriber->state = DY_MEMBER_SERVING;
-	subscriber->refused_limit = limit;
-	subscriber->boot = make_boot();
-	dy_random_fill(&start, sizeof(start));
-	dy_poll_pace_init(&subscriber->pace, start);
-	controls.told = config->controls;
+	subscriber->refusal_log_limit = limit;
+	subscriber->boot = create_boot_id();
+	dy_random_fill(&seed, sizeof(seed));
+	dy_poll_pace_init(&subscriber->pace, seed);
+	controls.configured = config->controls;
 	controls.learned = &subscriber->learned;
 	controls.leader = &subscriber->control;
 	subscriber->source = state_source_create(&source_callbacks, subscriber,
-						 &controls, start);
-	subscriber->next_control = (int)(start % config->controls->count);
+						 &controls, seed);
+	subscriber->next_control = (int)(seed % config->controls->count);
 	choose_next_control(subscriber);
 	register_counters(subscriber);
-	dy_loop_every(config->loop, TICK_MS, on_tick, subscriber);
+	dy_loop_every(config->loop, TICK_INTERVAL_MS, on_tick, subscriber);
 	return subscriber;
 }
 
@@ -591,13 +598,13 @@
 void dy_subscriber_rejoin(dy_subscriber_t *subscriber)
 {
 	state_source_reset(subscriber->source);
-	subscriber->boot = make_boot();
+	subscriber->boot = create_boot_id();
 	subscriber->incarnation = 0;
 	subscriber->state_version = 0;
 	subscriber->document = 0;
 	subscriber->state = DY_MEMBER_SERVING;
 	subscriber->successor_count = 0;
-	subscriber->drain_told = 0;
+	subscriber->drain_reported = 0;
 	subscriber->from_image = 0;
 	dy_poll_pace_reset(&subscriber->pace);
 	poll_soon(subscriber);
@@ -622,9 +629,9 @@
 		memcpy(subscriber->successors, successors,
 		       count * sizeof(*successors));
 	/*
-	 * Guards against balancers that learn of a stop too late, while a poll
-	 * of before waits at a slow control: they would take the silence that
-	 * follows for a failure.
+	 * Guards against balancers that learn of a stop too late because an
+	 * earlier poll waits at a slow control. They would treat the stopped
+	 * member, which no longer answers, as failed.
 	 */
 	if (state == DY_MEMBER_DRAINING || state == DY_MEMBER_LEFT)
 		dy_poll_pace_reset(&subscriber->pace);
@@ -654,7 +661,7 @@
 int dy_subscriber_settled(const dy_subscriber_t *subscriber)
 {
 	return subscriber->confirmed &&
-	       subscriber->settled_generation == subscriber->state_generation;
+	       subscriber->confirmed_generation == subscriber->state_generation;
 }
 
 uint64_t dy_subscriber_version(const dy_subscriber_t *subscriber)
--- a/tests/test_burn.c
+++ b/tests/test_burn.c
@@ -7,8 +7,8 @@
 #define MINUTE_MS 60000
 #define DAY_MS (24 * 60 * MINUTE_MS)
 
-static uint64_t count_of(dy_burn_t *burn, dy_window_t window, uint64_t now,
-			 dy_outcome_t outcome)
+static uint64_t load_count(dy_burn_t *burn, dy_window_t window, uint64_t now,
+			   dy_outcome_t outcome)
 {
 	dy_tally_t tally;
 
@@ -16,29 +16,37 @@
 	return tally.counts[outcome];
 }
 
-START_TEST(windows_forget_in_their_own_time)
+START_TEST(drops_outcomes_after_window_ends)
 {
 	dy_burn_t *burn = dy_burn_create();
-	uint64_t at = 10 * (uint64_t)DAY_MS;
+	uint64_t now_ms = 10 * (uint64_t)DAY_MS;
 
-	dy_burn_add(burn, DY_OUTCOME_LATE, at);
-	ck_assert_uint_eq(count_of(burn, DY_WINDOW_5M, at, DY_OUTCOME_LATE), 1);
-	at += 5 * MINUTE_MS;
-	ck_assert_uint_eq(count_of(burn, DY_WINDOW_5M, at, DY_OUTCOME_LATE), 0);
-	ck_assert_uint_eq(count_of(burn, DY_WINDOW_1H, at, DY_OUTCOME_LATE), 1);
-	at += 60 * MINUTE_MS;
-	ck_assert_uint_eq(count_of(burn, DY_WINDOW_1H, at, DY_OUTCOME_LATE), 0);
-	ck_assert_uint_eq(count_of(burn, DY_WINDOW_6H, at, DY_OUTCOME_LATE), 1);
-	at += DAY_MS;
-	ck_assert_uint_eq(count_of(burn, DY_WINDOW_6H, at, DY_OUTCOME_LATE), 0);
-	ck_assert_uint_eq(count_of(burn, DY_WINDOW_3D, at, DY_OUTCOME_LATE), 1);
-	at += 2 * (uint64_t)DAY_MS;
-	ck_assert_uint_eq(count_of(burn, DY_WINDOW_3D, at, DY_OUTCOME_LATE), 0);
+	dy_burn_add(burn, DY_OUTCOME_LATE, now_ms);
+	ck_assert_uint_eq(
+		load_count(burn, DY_WINDOW_5M, now_ms, DY_OUTCOME_LATE), 1);
+	now_ms += 5 * MINUTE_MS;
+	ck_assert_uint_eq(
+		load_count(burn, DY_WINDOW_5M, now_ms, DY_OUTCOME_LATE), 0);
+	ck_assert_uint_eq(
+		load_count(burn, DY_WINDOW_1H, now_ms, DY_OUTCOME_LATE), 1);
+	now_ms += 60 * MINUTE_MS;
+	ck_assert_uint_eq(
+		load_count(burn, DY_WINDOW_1H, now_ms, DY_OUTCOME_LATE), 0);
+	ck_assert_uint_eq(
+		load_count(burn, DY_WINDOW_6H, now_ms, DY_OUTCOME_LATE), 1);
+	now_ms += DAY_MS;
+	ck_assert_uint_eq(
+		load_count(burn, DY_WINDOW_6H, now_ms, DY_OUTCOME_LATE), 0);
+	ck_assert_uint_eq(
+		load_count(burn, DY_WINDOW_3D, now_ms, DY_OUTCOME_LATE), 1);
+	now_ms += 2 * (uint64_t)DAY_MS;
+	ck_assert_uint_eq(
+		load_count(burn, DY_WINDOW_3D, now_ms, DY_OUTCOME_LATE), 0);
 	dy_burn_destroy(burn);
 }
 END_TEST
 
-START_TEST(burn_is_failures_over_budget)
+START_TEST(burn_rate_is_failures_over_budget)
 {
 	dy_tally_t tally = { { 0 } };
 
@@ -52,17 +60,18 @@
 END_TEST
 
 /*
- * A process runs for months; a bucket of three days ago stands where today's
- * belongs. Its old counts must not be added to the new ones.
+ * Guards against counts of a former period in the current one: after three
+ * days the ring buffer reuses a bucket, which must start from zero.
  */
-START_TEST(reused_bucket_starts_empty)
+START_TEST(starts_reused_bucket_from_zero)
 {
 	dy_burn_t *burn = dy_burn_create();
-	uint64_t at = 145 * 30 * (uint64_t)MINUTE_MS;
+	uint64_t now_ms = 145 * 30 * (uint64_t)MINUTE_MS;
 
 	dy_burn_add(burn, DY_OUTCOME_GOOD, 0);
-	dy_burn_add(burn, DY_OUTCOME_GOOD, at);
-	ck_assert_uint_eq(count_of(burn, DY_WINDOW_3D, at, DY_OUTCOME_GOOD), 1);
+	dy_burn_add(burn, DY_OUTCOME_GOOD, now_ms);
+	ck_assert_uint_eq(
+		load_count(burn, DY_WINDOW_3D, now_ms, DY_OUTCOME_GOOD), 1);
 	dy_burn_destroy(burn);
 }
 END_TEST
@@ -70,9 +79,9 @@
 int main(void)
 {
 	const TTest *const tests[] = {
-		windows_forget_in_their_own_time,
-		burn_is_failures_over_budget,
-		reused_bucket_starts_empty,
+		drops_outcomes_after_window_ends,
+		burn_rate_is_failures_over_budget,
+		starts_reused_bucket_from_zero,
 		NULL,
 	};
 
--- a/tests/test_document_fetch.c
+++ b/tests/test_document_fetch.c
@@ -8,7 +8,7 @@
 
 #define LONG_TEXT 20000
 
-/* A member on one side, controls on the other. */
+/* A member's transfer, and the controls that answer its requests. */
 typedef struct fake {
 	document_fetch_t *fetch;
 	recent_documents_t *recent;
@@ -16,11 +16,11 @@
 	char environment[DY_NAME_BYTES];
 	uint32_t xid;
 	unsigned sent;
-	unsigned turned;
+	unsigned control_switches;
 	unsigned done;
 	uint8_t bytes[2 * LONG_TEXT];
 	size_t len;
-	uint64_t fetched; /* bytes of pages */
+	uint64_t fetched_bytes; /* total of all pages */
 } fake_t;
 
 static uint32_t on_send(void *context, dy_fetch_t *request)
@@ -32,9 +32,9 @@
 	return ++fake->xid;
 }
 
-static void on_turn(void *context)
+static void on_switch_control(void *context)
 {
-	((fake_t *)context)->turned++;
+	((fake_t *)context)->control_switches++;
 }
 
 static void on_done(void *context, const dy_document_info_t *info,
@@ -48,7 +48,8 @@
 	fake->len = len;
 }
 
-static const document_fetch_callbacks_t callbacks = { on_send, on_turn,
+static const document_fetch_callbacks_t callbacks = { on_send,
+						      on_switch_control,
 						      on_done };
 
 static void setup(fake_t *fake)
@@ -64,8 +65,8 @@
 	recent_documents_destroy(fake->recent);
 }
 
-static void begin(fake_t *fake, uint64_t number, const uint8_t *bytes,
-		  size_t len)
+static void begin_document(fake_t *fake, uint64_t number, const uint8_t *bytes,
+			   size_t len)
 {
 	dy_document_info_t info = { 0 };
 
@@ -76,8 +77,8 @@
 	document_fetch_begin(fake->fetch, &info, 0);
 }
 
-/* What a control that holds the document answers to the last request. */
-static void answer(fake_t *fake, const uint8_t *bytes, size_t len)
+/* Answers the last request as a control that has the document does. */
+static void answer_request(fake_t *fake, const uint8_t *bytes, size_t len)
 {
 	dy_fetch_result_t result = { 0 };
 	dy_document_patch_t patch;
@@ -96,7 +97,7 @@
 		result.page.page_len =
 			MIN(patch.size - offset, (u_int)DY_PAGE_BYTES);
 	}
-	fake->fetched += result.page.page_len;
+	fake->fetched_bytes += result.page.page_len;
 	ck_assert(document_fetch_receive(fake->fetch, fake->xid, &result, 0));
 }
 
@@ -106,7 +107,7 @@
 	unsigned i;
 
 	for (i = 0; fake->done == before && i < 100; i++)
-		answer(fake, bytes, len);
+		answer_request(fake, bytes, len);
 	ck_assert_uint_eq(fake->done, before + 1);
 	ck_assert_uint_eq(fake->len, len);
 	ck_assert(!memcmp(fake->bytes, bytes, len));
@@ -122,28 +123,28 @@
 	g_rand_free(rand);
 }
 
-START_TEST(small_change_costs_little)
+START_TEST(fetches_only_changed_bytes)
 {
 	uint8_t text[LONG_TEXT];
 	fake_t fake;
 
 	setup(&fake);
 	fill_text(text, sizeof(text), 1);
-	begin(&fake, 1, text, sizeof(text));
+	begin_document(&fake, 1, text, sizeof(text));
 	run_until_done(&fake, text, sizeof(text));
-	ck_assert_uint_eq(fake.fetched, sizeof(text));
-	fake.fetched = 0;
+	ck_assert_uint_eq(fake.fetched_bytes, sizeof(text));
+	fake.fetched_bytes = 0;
 	text[7000] = 'Z';
 	text[7040] = 'Z';
-	begin(&fake, 2, text, sizeof(text));
+	begin_document(&fake, 2, text, sizeof(text));
 	run_until_done(&fake, text, sizeof(text));
-	ck_assert_uint_eq(fake.fetched, 41);
+	ck_assert_uint_eq(fake.fetched_bytes, 41);
 	teardown(&fake);
 }
 END_TEST
 
-/* Any two documents, also where one is empty, a part or the other twice. */
-START_TEST(every_pair_is_put_together_again)
+/* Random pairs of documents; one may be empty or contain the other. */
+START_TEST(patch_restores_any_document)
 {
 	GRand *rand = g_rand_new_with_seed(3);
 	uint8_t base[64];
@@ -176,11 +177,11 @@
 END_TEST
 
 /*
- * Half of a document has come when its control dies. The next control does
- * not hold the base and tells another patch: put together from both, the
- * document would be a wrong one. It must be fetched anew and come out right.
+ * Guards against a document combined from two patches. A control fails in the
+ * middle of a transfer; the next control does not have the base and sends
+ * another patch. The transfer must restart and end with the right document.
  */
-START_TEST(change_of_control_halfway_starts_anew)
+START_TEST(restarts_when_next_control_sends_other_patch)
 {
 	uint8_t first[LONG_TEXT];
 	uint8_t second[LONG_TEXT];
@@ -190,22 +191,25 @@
 	fill_text(first, sizeof(first), 1);
 	memcpy(second, first, sizeof(first));
 	fill_text(second + 100, 9000, 2);
-	begin(&fake, 1, first, sizeof(first));
+	begin_document(&fake, 1, first, sizeof(first));
 	run_until_done(&fake, first, sizeof(first));
-	begin(&fake, 2, second, sizeof(second));
-	answer(&fake, second, sizeof(second));
+	begin_document(&fake, 2, second, sizeof(second));
+	answer_request(&fake, second, sizeof(second));
 	recent_documents_destroy(fake.recent);
 	fake.recent = recent_documents_create();
-	answer(&fake, second, sizeof(second));
-	ck_assert_uint_eq(fake.turned, 1);
+	answer_request(&fake, second, sizeof(second));
+	ck_assert_uint_eq(fake.control_switches, 1);
 	document_fetch_tick(fake.fetch, 1000, 400);
 	run_until_done(&fake, second, sizeof(second));
 	teardown(&fake);
 }
 END_TEST
 
-/* A balancer waits long for the page of a control that is not there. */
-START_TEST(lost_page_is_asked_for_elsewhere_later_each_time)
+/*
+ * Guards against a balancer that waits long for a page of a control that is
+ * down. The timeout starts short and doubles up to its maximum.
+ */
+START_TEST(doubles_timeout_and_switches_control_after_lost_page)
 {
 	static const uint64_t sent_ms[] = { 100, 300, 700, 1100, 1500 };
 	uint8_t text[100];
@@ -215,13 +219,13 @@
 
 	setup(&fake);
 	fill_text(text, sizeof(text), 1);
-	begin(&fake, 1, text, sizeof(text));
+	begin_document(&fake, 1, text, sizeof(text));
 	for (now_ms = 50; now_ms <= 1500; now_ms += 50) {
 		document_fetch_tick(fake.fetch, now_ms, 400);
 		if (i < G_N_ELEMENTS(sent_ms) && now_ms == sent_ms[i])
 			i++;
 		ck_assert_uint_eq(fake.sent, i + 1);
-		ck_assert_uint_eq(fake.turned, i);
+		ck_assert_uint_eq(fake.control_switches, i);
 	}
 	run_until_done(&fake, text, sizeof(text));
 	teardown(&fake);
@@ -229,10 +233,10 @@
 END_TEST
 
 /*
- * A control gives bytes that do not have the digest that a majority agreed
- * on. They must not come into force; another control is asked.
+ * Guards against a control that sends bytes without the digest that a
+ * majority agreed on. They must not take effect, and another control is asked.
  */
-START_TEST(wrong_bytes_are_not_taken)
+START_TEST(rejects_document_with_wrong_digest)
 {
 	uint8_t text[100];
 	uint8_t wrong[100];
@@ -241,11 +245,11 @@
 	setup(&fake);
 	fill_text(text, sizeof(text), 1);
 	fill_text(wrong, sizeof(wrong), 2);
-	begin(&fake, 5, text, sizeof(text));
-	answer(&fake, wrong, sizeof(wrong));
+	begin_document(&fake, 5, text, sizeof(text));
+	answer_request(&fake, wrong, sizeof(wrong));
 	ck_assert_uint_eq(fake.done, 0);
-	ck_assert_uint_eq(fake.turned, 1);
-	ck_assert_uint_eq(document_fetch_wrong(fake.fetch), 1);
+	ck_assert_uint_eq(fake.control_switches, 1);
+	ck_assert_uint_eq(document_fetch_digest_mismatches(fake.fetch), 1);
 	recent_documents_destroy(fake.recent);
 	fake.recent = recent_documents_create();
 	document_fetch_tick(fake.fetch, 1000, 400);
@@ -255,26 +259,27 @@
 END_TEST
 
 /*
- * A delta that was late tells of an older document after a newer one is in
- * force. It must not be fetched; after joining anew only the newest may.
+ * Guards against a return to an older document: a late delta names it after a
+ * newer one has taken effect. It must not be fetched. After the member joins
+ * again, only the newest document may be.
  */
-START_TEST(older_document_is_never_fetched)
+START_TEST(ignores_older_document)
 {
 	uint8_t text[100];
 	fake_t fake;
 
 	setup(&fake);
 	fill_text(text, sizeof(text), 1);
-	begin(&fake, 5, text, sizeof(text));
+	begin_document(&fake, 5, text, sizeof(text));
 	run_until_done(&fake, text, sizeof(text));
 	fake.sent = 0;
-	begin(&fake, 4, text, sizeof(text));
-	begin(&fake, 5, text, sizeof(text));
+	begin_document(&fake, 4, text, sizeof(text));
+	begin_document(&fake, 5, text, sizeof(text));
 	ck_assert_uint_eq(fake.sent, 0);
 	document_fetch_reset(fake.fetch);
-	begin(&fake, 4, text, sizeof(text));
+	begin_document(&fake, 4, text, sizeof(text));
 	ck_assert_uint_eq(fake.sent, 0);
-	begin(&fake, 5, text, sizeof(text));
+	begin_document(&fake, 5, text, sizeof(text));
 	ck_assert_uint_eq(fake.sent, 1);
 	teardown(&fake);
 }
@@ -283,12 +288,12 @@
 int main(void)
 {
 	const TTest *const tests[] = {
-		small_change_costs_little,
-		every_pair_is_put_together_again,
-		change_of_control_halfway_starts_anew,
-		lost_page_is_asked_for_elsewhere_later_each_time,
-		wrong_bytes_are_not_taken,
-		older_document_is_never_fetched,
+		fetches_only_changed_bytes,
+		patch_restores_any_document,
+		restarts_when_next_control_sends_other_patch,
+		doubles_timeout_and_switches_control_after_lost_page,
+		rejects_document_with_wrong_digest,
+		ignores_older_document,
 		NULL,
 	};
 
--- a/tests/test_log.c
+++ b/tests/test_log.c
@@ -7,16 +7,16 @@
 
 #include "fake_suite.h"
 
-START_TEST(quote_keeps_plain_words)
+START_TEST(quote_keeps_plain_word)
 {
 	ck_assert_str_eq(dy_log_quote("127.0.0.1:80"), "127.0.0.1:80");
 }
 END_TEST
 
 /*
- * A station announces itself with a line break and a made-up event in its
- * name. An operator would see an event that never happened. The value must
- * come out as one quoted word.
+ * Guards against a forged event: a target announces a name that holds a line
+ * break and the text of an event, and an operator sees an event that never
+ * happened. The value must be written as one quoted word.
  */
 START_TEST(quote_escapes_forged_event)
 {
@@ -27,7 +27,7 @@
 }
 END_TEST
 
-START_TEST(limit_holds_back_and_reopens)
+START_TEST(limit_suppresses_until_next_period)
 {
 	dy_log_limit_t limit = DY_LOG_LIMIT_INIT(2, 1000);
 
@@ -39,7 +39,7 @@
 }
 END_TEST
 
-START_TEST(counter_is_found_again)
+START_TEST(registers_counter_once)
 {
 	dy_metrics_t *metrics = dy_metrics_create();
 	uint64_t *counter = dy_metrics_counter(metrics, "calls_forwarded");
@@ -53,10 +53,10 @@
 END_TEST
 
 /*
- * Whoever reads the log stops reading. The process would block in a write and
- * serve nobody; or lines would be lost without a word.
+ * Guards against a reader of the log that stops reading. The process would
+ * block in a write and serve no caller, or lose lines without a log event.
  */
-START_TEST(reader_that_stops_does_not_block)
+START_TEST(drops_lines_when_reader_stops)
 {
 	static char text[1 << 17];
 	int ends[2];
@@ -85,9 +85,12 @@
 int main(void)
 {
 	const TTest *const tests[] = {
-		quote_keeps_plain_words,      quote_escapes_forged_event,
-		limit_holds_back_and_reopens, reader_that_stops_does_not_block,
-		counter_is_found_again,	      NULL,
+		quote_keeps_plain_word,
+		quote_escapes_forged_event,
+		limit_suppresses_until_next_period,
+		drops_lines_when_reader_stops,
+		registers_counter_once,
+		NULL,
 	};
 
 	return fake_suite_run("log", tests);
--- a/tests/test_loop.c
+++ b/tests/test_loop.c
@@ -57,7 +57,7 @@
 			 0);
 }
 
-/* First tick: send, and stop the process for a while. Later: look. */
+/* Sends and suspends the process at tick 1, sends at 10, ends at 20. */
 static void on_tick(void *context)
 {
 	fake_t *fake = context;
@@ -76,13 +76,13 @@
 }
 
 /*
- * A balancer is stopped for an hour with a reading in its socket. Meanwhile
- * the reading was answered by way of another one, and its record of
- * duplicates has expired. On its return the balancer would forward the old
- * copy, and it would run again. What waited must be dropped, and what comes
- * after must not.
+ * Guards against a call that runs twice. A balancer is suspended for an hour
+ * with the call in its socket. Meanwhile the call is answered through another
+ * balancer, and its entry in the duplicate request cache expires. On its
+ * return the balancer would forward the old datagram. Datagrams that waited
+ * must be dropped, and later ones must not.
  */
-START_TEST(datagrams_that_waited_out_a_stall_are_dropped)
+START_TEST(drops_datagrams_that_waited_during_stall)
 {
 	fake_t fake;
 
@@ -98,7 +98,7 @@
 }
 END_TEST
 
-START_TEST(short_pause_drops_nothing)
+START_TEST(keeps_datagrams_after_short_pause)
 {
 	fake_t fake;
 
@@ -113,7 +113,7 @@
 }
 END_TEST
 
-START_TEST(taken_port_is_an_error)
+START_TEST(reports_port_in_use)
 {
 	GError *error = NULL;
 	fake_t fake;
@@ -131,9 +131,9 @@
 int main(void)
 {
 	const TTest *const tests[] = {
-		datagrams_that_waited_out_a_stall_are_dropped,
-		short_pause_drops_nothing,
-		taken_port_is_an_error,
+		drops_datagrams_that_waited_during_stall,
+		keeps_datagrams_after_short_pause,
+		reports_port_in_use,
 		NULL,
 	};
 
--- a/tests/test_poll_pace.c
+++ b/tests/test_poll_pace.c
@@ -5,12 +5,13 @@
 #define MEMBERS 1000
 
 /*
- * All power is back; control stays away for ten seconds. A thousand members
- * that each asked every 100 ms would be ten thousand questions a second, more
- * than control can answer once it is up, so that it never would. After the
- * first second they ask less often than they would poll.
+ * Guards against a retry storm after a power failure: control is down for ten
+ * seconds. A thousand members that each poll every 100 ms send ten thousand
+ * polls per second, more than control can answer once it is up, so that it
+ * never recovers. After the first two seconds the rate must stay below that
+ * of regular polls.
  */
-START_TEST(members_without_control_ask_ever_less_often)
+START_TEST(reduces_poll_rate_without_control)
 {
 	static dy_poll_pace_t paces[MEMBERS];
 	unsigned sent[10] = { 0 };
@@ -28,7 +29,8 @@
 			dy_poll_pace_sent(&paces[i], step, now);
 			sent[now / 1000]++;
 		}
-	/* A start is not slowed: three polls in the first half second. */
+	/* A start is not delayed: three polls per member in the first second.
+	 */
 	ck_assert_uint_ge(sent[0], 3 * MEMBERS);
 	for (i = 2; i < 10; i++)
 		ck_assert_uint_le(sent[i], MEMBERS * 1000 / DY_POLL_MS);
@@ -37,8 +39,9 @@
 }
 END_TEST
 
-/* What is sent again within a second is a copy; after it, a new poll. */
-START_TEST(copies_become_a_new_poll_in_time)
+/* Within the time to live a poll is retransmitted; after it, a new one is sent.
+ */
+START_TEST(sends_new_poll_after_time_to_live)
 {
 	dy_poll_pace_t pace;
 	dy_poll_step_t step;
@@ -60,8 +63,8 @@
 }
 END_TEST
 
-/* The pace that control tells is kept, within bounds. */
-START_TEST(answered_member_polls_as_control_says)
+/* The member uses the interval that control sets, within bounds. */
+START_TEST(uses_interval_of_control_within_bounds)
 {
 	dy_poll_pace_t pace;
 
@@ -71,7 +74,7 @@
 	ck_assert_int_eq(dy_poll_pace_next(&pace, 2399), DY_POLL_WAIT);
 	ck_assert_int_eq(dy_poll_pace_next(&pace, 2400), DY_POLL_SEND_NEW);
 	dy_poll_pace_sent(&pace, DY_POLL_SEND_NEW, 2400);
-	/* A confirmed member is served: it waits longer before a copy. */
+	/* A confirmed member waits longer before it retransmits. */
 	ck_assert_int_eq(
 		dy_poll_pace_next(&pace, 2400 + DY_POLL_TIMEOUT_MS - 1),
 		DY_POLL_WAIT);
@@ -82,8 +85,8 @@
 }
 END_TEST
 
-/* A leader that is known ends the wait, however long it had become. */
-START_TEST(known_leader_ends_the_wait)
+/* A known leader is polled at once, however long the timeout has become. */
+START_TEST(polls_known_leader_at_once)
 {
 	dy_poll_pace_t pace;
 	int i;
@@ -99,11 +102,11 @@
 END_TEST
 
 /*
- * Controls that are up and have no leader turn members away. The first time the
- * member asks again soon, since a leader is elected in a tenth of a second;
- * later ever more seldom.
+ * Controls that are up but have no leader cannot serve polls. The first
+ * backoff is short, because a leader is elected within a tenth of a second;
+ * later ones double.
  */
-START_TEST(turned_away_member_asks_ever_less_often)
+START_TEST(doubles_backoff_without_leader)
 {
 	dy_poll_pace_t pace;
 	uint64_t now = 0;
@@ -126,11 +129,11 @@
 END_TEST
 
 /*
- * A change is told at once; one that is pressed for keeps its distance. A poll
- * that control is at work on is not given up for it: its answer would be lost,
- * and control would begin anew.
+ * A change is polled at once; an early poll keeps its minimum interval. A poll
+ * in flight, which control may be processing, is not abandoned for a change:
+ * its answer would be lost, and control would start over.
  */
-START_TEST(changes_and_presses_poll_soon)
+START_TEST(polls_after_change_or_early_request)
 {
 	dy_poll_pace_t pace;
 
@@ -148,7 +151,7 @@
 	ck_assert_int_eq(dy_poll_pace_next(&pace, 1061), DY_POLL_WAIT);
 	dy_poll_pace_answered(&pace, DY_POLL_MS);
 	ck_assert_int_eq(dy_poll_pace_next(&pace, 1070), DY_POLL_SEND_NEW);
-	/* Unanswered, what is sent again says what is so now. */
+	/* Without an answer, the next transmission has the new content. */
 	dy_poll_pace_sent(&pace, DY_POLL_SEND_NEW, 1070);
 	dy_poll_pace_renew(&pace);
 	ck_assert_int_eq(dy_poll_pace_next(&pace, 1070 + DY_POLL_RETRY_MOST_MS),
@@ -162,12 +165,12 @@
 int main(void)
 {
 	const TTest *const tests[] = {
-		members_without_control_ask_ever_less_often,
-		copies_become_a_new_poll_in_time,
-		answered_member_polls_as_control_says,
-		known_leader_ends_the_wait,
-		turned_away_member_asks_ever_less_often,
-		changes_and_presses_poll_soon,
+		reduces_poll_rate_without_control,
+		sends_new_poll_after_time_to_live,
+		uses_interval_of_control_within_bounds,
+		polls_known_leader_at_once,
+		doubles_backoff_without_leader,
+		polls_after_change_or_early_request,
 		NULL,
 	};
 
--- a/tests/test_report.c
+++ b/tests/test_report.c
@@ -4,7 +4,7 @@
 
 #include "fake_suite.h"
 
-START_TEST(counters_of_processes_add_up)
+START_TEST(sums_counters_of_processes)
 {
 	report_t *report = report_create();
 	report_service_t *service;
@@ -29,10 +29,10 @@
 END_TEST
 
 /*
- * A burst of refusals is over. The long window still shows it, the short one
- * does not: nobody should be woken for it.
+ * Guards against a page for a burst of refusals that has ended: the long
+ * window still shows it, the short one does not.
  */
-START_TEST(burn_that_is_over_wakes_nobody)
+START_TEST(no_alert_after_burst_has_ended)
 {
 	report_service_t service = { .objective = 99.9 };
 
@@ -52,8 +52,8 @@
 int main(void)
 {
 	const TTest *const tests[] = {
-		counters_of_processes_add_up,
-		burn_that_is_over_wakes_nobody,
+		sums_counters_of_processes,
+		no_alert_after_burst_has_ended,
 		NULL,
 	};
 
--- a/tests/test_settings.c
+++ b/tests/test_settings.c
@@ -49,7 +49,7 @@
 	return ok;
 }
 
-static void expect_wrong(const char *line, const char *part)
+static void expect_error(const char *line, const char *part)
 {
 	GError *error = NULL;
 
@@ -60,7 +60,7 @@
 	dy_settings_clear(settings);
 }
 
-START_TEST(flags_go_before_variables_and_fallbacks)
+START_TEST(flag_precedes_variable_and_default)
 {
 	g_setenv("DAMASKYARD_SOME_TEXT", "of the environment", TRUE);
 	g_setenv("DAMASKYARD_NUMBER", "8", TRUE);
@@ -83,32 +83,32 @@
 END_TEST
 
 /*
- * A limit with a typing error that is read as another number, or passed
- * over, would show itself at dusk. Each wrong setting names itself, the
- * value and what is allowed.
+ * Guards against a limit with a typing error that is read as another number
+ * or ignored, and shows only under peak load. Each error must name the
+ * setting, its value and what is allowed.
  */
-START_TEST(wrong_settings_name_themselves)
+START_TEST(error_names_wrong_setting)
 {
-	expect_wrong("x", "--name (or DAMASKYARD_NAME) is missing");
-	expect_wrong("x --name A", "--name: \"A\" is not allowed");
-	expect_wrong("x --name a --number 7x", "--number: \"7x\"");
-	expect_wrong("x --name a --number 1", "from 2 to 100");
-	expect_wrong("x --name a --number 101", "from 2 to 100");
-	expect_wrong("x --name a --number -3", "--number");
-	expect_wrong("x --name a --address host:1", "expected IP:PORT");
-	expect_wrong("x --name a --addresses 127.0.0.1:1,", "--addresses");
-	expect_wrong("x --name a --nmae b", "--nmae");
-	expect_wrong("x --name a operand", "\"operand\" is not expected here");
+	expect_error("x", "--name (or DAMASKYARD_NAME) is missing");
+	expect_error("x --name A", "--name: \"A\" is not allowed");
+	expect_error("x --name a --number 7x", "--number: \"7x\"");
+	expect_error("x --name a --number 1", "from 2 to 100");
+	expect_error("x --name a --number 101", "from 2 to 100");
+	expect_error("x --name a --number -3", "--number");
+	expect_error("x --name a --address host:1", "expected IP:PORT");
+	expect_error("x --name a --addresses 127.0.0.1:1,", "--addresses");
+	expect_error("x --name a --nmae b", "--nmae");
+	expect_error("x --name a operand", "\"operand\" is not expected here");
 	g_setenv("DAMASKYARD_FLAG", "yes", TRUE);
-	expect_wrong("x --name a", "--flag: \"yes\"");
+	expect_error("x --name a", "--flag: \"yes\"");
 }
 END_TEST
 
 int main(void)
 {
 	const TTest *const tests[] = {
-		flags_go_before_variables_and_fallbacks,
-		wrong_settings_name_themselves,
+		flag_precedes_variable_and_default,
+		error_names_wrong_setting,
 		NULL,
 	};
 
--- a/tests/test_subscriber.c
+++ b/tests/test_subscriber.c
@@ -10,7 +10,7 @@
 #define CONTROLS 2
 #define MESSAGE_BYTES 4096
 
-/* A member that polls, and the controls that it knows, in one process. */
+/* A member that polls, and the controls in its settings, in one process. */
 static struct {
 	dy_metrics_t *metrics;
 	dy_loop_t *loop;
@@ -21,17 +21,17 @@
 	dy_endpoint_t *controls[CONTROLS];
 	dy_address_list_t addresses;
 	dy_subscriber_t *subscriber;
-	uint32_t xid;	      /* of the last poll */
-	unsigned asked;	      /* which control got it */
-	dy_sealed_t question; /* the last other call; its body is gone */
-	unsigned skips;	      /* of the last poll */
+	uint32_t xid;		 /* of the last poll */
+	unsigned polled_control; /* index of the control that received it */
+	dy_sealed_t last_call;	 /* last other call; its body is not valid */
+	unsigned skips;		 /* of the last poll */
 	uint64_t polled_version;
-	unsigned members; /* told so far */
-	unsigned caught_up;
+	unsigned members;   /* calls of the member callback */
+	unsigned caught_up; /* calls of the caught_up callback */
 } world;
 
-static void on_member(void *context, uint8_t *bytes, size_t len,
-		      const struct sockaddr *from, int truncated)
+static void ignore_datagram(void *context, uint8_t *bytes, size_t len,
+			    const struct sockaddr *from, int truncated)
 {
 	(void)context;
 	(void)bytes;
@@ -51,7 +51,7 @@
 	ck_assert_int_eq(dy_seal_open(world.control_seal, bytes, len, &message),
 			 DY_SEAL_OK);
 	if (message.procedure != DY_CONTROL_POLL) {
-		world.question = message;
+		world.last_call = message;
 		return;
 	}
 	ck_assert(dy_sealed_load(&message, (xdrproc_t)xdr_dy_poll_t, &poll,
@@ -60,7 +60,7 @@
 	world.polled_version = poll.state_version;
 	xdr_free((xdrproc_t)xdr_dy_poll_t, (char *)&poll);
 	world.xid = message.xid;
-	world.asked = GPOINTER_TO_UINT(context);
+	world.polled_control = GPOINTER_TO_UINT(context);
 	dy_loop_end(world.loop);
 }
 
@@ -70,7 +70,7 @@
 	(void)status;
 }
 
-static void on_told(void *context, const dy_member_t *member)
+static void on_member(void *context, const dy_member_t *member)
 {
 	(void)context;
 	(void)member;
@@ -84,12 +84,12 @@
 }
 
 static const dy_subscriber_callbacks_t callbacks = {
-	.member = on_told,
+	.member = on_member,
 	.caught_up = on_caught_up,
 	.refused = on_refused,
 };
 
-static void begin_as(int skip_ended)
+static void setup_with(int skip_ended)
 {
 	dy_subscriber_config_t config = { 0 };
 	dy_member_info_t info = { .kind = DY_MEMBER_BALANCER,
@@ -108,8 +108,8 @@
 	world.member_seal = dy_seal_create(&world.secrets, world.metrics);
 	world.control_seal = dy_seal_create(&world.secrets, world.metrics);
 	dy_address_parse("127.0.0.1:0", &any);
-	world.member =
-		dy_endpoint_create(world.loop, &any, on_member, NULL, NULL);
+	world.member = dy_endpoint_create(world.loop, &any, ignore_datagram,
+					  NULL, NULL);
 	for (i = 0; i < CONTROLS; i++) {
 		world.controls[i] = dy_endpoint_create(
 			world.loop, &any, on_poll, GUINT_TO_POINTER(i), NULL);
@@ -129,12 +129,12 @@
 	dy_loop_run(world.loop);
 }
 
-static void begin(void)
+static void setup(void)
 {
-	begin_as(0);
+	setup_with(0);
 }
 
-static void end(void)
+static void teardown(void)
 {
 	unsigned i;
 
@@ -148,8 +148,8 @@
 	dy_metrics_destroy(world.metrics);
 }
 
-/* The control that was polled last answers, and names a leader. */
-static void answer(dy_status_t status, unsigned leader)
+/* The control that was polled last answers and names a leader. */
+static void answer_poll(dy_status_t status, unsigned leader)
 {
 	dy_poll_result_t result = { 0 };
 	uint8_t bytes[MESSAGE_BYTES];
@@ -166,7 +166,7 @@
 	dy_subscriber_receive(world.subscriber, &message);
 }
 
-/* Have the member take a message that one of the controls wrote. */
+/* Passes a message that a control wrote to the member. */
 static void deliver(uint8_t *bytes, size_t len)
 {
 	dy_sealed_t message;
@@ -177,7 +177,7 @@
 	ck_assert(dy_subscriber_receive(world.subscriber, &message));
 }
 
-static void reply(uint32_t xid, xdrproc_t proc, void *result)
+static void send_reply(uint32_t xid, xdrproc_t proc, void *result)
 {
 	uint8_t bytes[MESSAGE_BYTES];
 
@@ -185,7 +185,7 @@
 					   result, bytes, sizeof(bytes)));
 }
 
-static void invite(unsigned leader)
+static void send_invitation(unsigned leader)
 {
 	dy_seal_head_t head = { 0, DY_MEMBER_PROGRAM, DY_MEMBER_INVITE };
 	dy_invite_t args = { world.addresses.items[leader] };
@@ -196,114 +196,116 @@
 					  bytes, sizeof(bytes)));
 }
 
-static uint64_t polls(void)
+static uint64_t poll_count(void)
 {
 	return dy_metrics_value(world.metrics, "polls");
 }
 
 /*
- * Power is back, and a leader has just been elected. A balancer that is told
- * who it is, and waits before it asks there, serves nobody meanwhile.
+ * Guards against a late start after a power failure: a leader was just
+ * elected, and another control names it. A balancer that waits before it polls
+ * the leader serves no caller meanwhile.
  */
-START_TEST(leader_that_is_named_is_polled_at_once)
+START_TEST(polls_named_leader_at_once)
 {
 	unsigned other;
 
-	begin();
-	other = !world.asked;
-	ck_assert_uint_eq(polls(), 1);
-	answer(DY_STATUS_NOT_LEADER, other);
-	ck_assert_uint_eq(polls(), 2);
+	setup();
+	other = !world.polled_control;
+	ck_assert_uint_eq(poll_count(), 1);
+	answer_poll(DY_STATUS_NOT_LEADER, other);
+	ck_assert_uint_eq(poll_count(), 2);
 	dy_loop_run(world.loop);
-	ck_assert_uint_eq(world.asked, other);
-	end();
+	ck_assert_uint_eq(world.polled_control, other);
+	teardown();
 }
 END_TEST
 
 /*
- * The leader has changed, and each of two controls still takes the other for
- * it. Followed at once a member would fill their links with polls.
+ * Guards against a loop of polls: after a change of leader each of two
+ * controls still names the other. A member that follows every redirect at once
+ * would fill their links with polls.
  */
-START_TEST(controls_that_name_each_other_are_polled_in_time)
+START_TEST(backs_off_when_controls_name_each_other)
 {
 	unsigned first;
 
-	begin();
-	first = world.asked;
-	answer(DY_STATUS_NOT_LEADER, !first);
+	setup();
+	first = world.polled_control;
+	answer_poll(DY_STATUS_NOT_LEADER, !first);
 	dy_loop_run(world.loop);
-	answer(DY_STATUS_NOT_LEADER, first);
-	ck_assert_uint_eq(polls(), 2);
+	answer_poll(DY_STATUS_NOT_LEADER, first);
+	ck_assert_uint_eq(poll_count(), 2);
 	dy_loop_run(world.loop);
-	ck_assert_uint_eq(world.asked, first);
-	ck_assert_uint_eq(polls(), 3);
-	end();
+	ck_assert_uint_eq(world.polled_control, first);
+	ck_assert_uint_eq(poll_count(), 3);
+	teardown();
 }
 END_TEST
 
 /*
- * A leader that was elected a moment ago cannot answer yet. A member that turns
- * to another control is only sent back, later.
+ * Guards against a detour: a leader that was just elected cannot serve yet. A
+ * member that polls another control is only sent back, later.
  */
-START_TEST(leader_that_cannot_serve_yet_is_polled_again)
+START_TEST(polls_leader_again_that_cannot_serve_yet)
 {
 	unsigned first;
 
-	begin();
-	first = world.asked;
-	answer(DY_STATUS_UNAVAILABLE, first);
-	ck_assert_uint_eq(polls(), 1);
+	setup();
+	first = world.polled_control;
+	answer_poll(DY_STATUS_UNAVAILABLE, first);
+	ck_assert_uint_eq(poll_count(), 1);
 	dy_loop_run(world.loop);
-	ck_assert_uint_eq(world.asked, first);
-	answer(DY_STATUS_UNAVAILABLE, !first);
+	ck_assert_uint_eq(world.polled_control, first);
+	answer_poll(DY_STATUS_UNAVAILABLE, !first);
 	dy_loop_run(world.loop);
-	ck_assert_uint_eq(world.asked, !first);
-	end();
+	ck_assert_uint_eq(world.polled_control, !first);
+	teardown();
 }
 END_TEST
 
 /*
- * All power is back. The leader answers a member's first poll late, after the
- * member sent a copy to another control. Were only the newest copy's answer
- * taken, the leader's work was for nothing, and a slow group never got anybody
- * served.
+ * Guards against wasted answers after a power failure: the leader answers a
+ * member's first poll after the member has retransmitted it to another
+ * control. If only the answer to the last transmission counted, the leader's
+ * work would be lost, and with a slow group no member would ever be confirmed.
  */
-START_TEST(answer_to_any_copy_of_a_poll_counts)
+START_TEST(accepts_answer_to_any_transmission)
 {
 	uint32_t first;
 	unsigned asked;
 
-	begin();
+	setup();
 	first = world.xid;
-	asked = world.asked;
+	asked = world.polled_control;
 	dy_loop_run(world.loop);
-	ck_assert_uint_eq(world.asked, !asked);
+	ck_assert_uint_eq(world.polled_control, !asked);
 	ck_assert_uint_eq(world.xid, first);
-	answer(DY_STATUS_OK, asked);
+	answer_poll(DY_STATUS_OK, asked);
 	ck_assert_uint_eq(world.caught_up, 1);
 	ck_assert_uint_lt(dy_subscriber_age_ms(world.subscriber), UINT64_MAX);
-	end();
+	teardown();
 }
 END_TEST
 
 /*
- * A leader was elected and calls its members. One that waits for a control that
- * is gone polls it at once, whomever it asked before.
+ * Guards against a member that waits for a control that is down although a new
+ * leader has invited it. It must poll the leader at once.
  */
-START_TEST(leader_that_invites_is_polled_at_once)
+START_TEST(polls_inviting_leader_at_once)
 {
 	unsigned other;
 
-	begin();
-	other = !world.asked;
-	invite(other);
-	ck_assert_uint_eq(polls(), 2);
+	setup();
+	other = !world.polled_control;
+	send_invitation(other);
+	ck_assert_uint_eq(poll_count(), 2);
 	dy_loop_run(world.loop);
-	ck_assert_uint_eq(world.asked, other);
-	answer(DY_STATUS_OK, other);
-	invite(!other);
-	ck_assert_uint_eq(polls(), 3);
-	end();
+	ck_assert_uint_eq(world.polled_control, other);
+	answer_poll(DY_STATUS_OK, other);
+	send_invitation(!other);
+	ck_assert_uint_eq(poll_count(), 3);
+	teardown();
 }
 END_TEST
 
@@ -336,42 +338,45 @@
 	info.info.number = version;
 	info.info.size = xdr_getpos(&xdrs);
 	dy_document_digest(bytes, info.info.size, (uint8_t *)info.info.digest);
-	reply(world.question.xid, (xdrproc_t)xdr_dy_image_result_t, &info);
-	while (world.question.procedure != DY_CONTROL_FETCH)
+	send_reply(world.last_call.xid, (xdrproc_t)xdr_dy_image_result_t,
+		   &info);
+	while (world.last_call.procedure != DY_CONTROL_FETCH)
 		uv_run(dy_loop_uv(world.loop), UV_RUN_ONCE);
 	page.size = info.info.size;
 	page.page.page_val = bytes;
 	page.page.page_len = info.info.size;
-	reply(world.question.xid, (xdrproc_t)xdr_dy_fetch_result_t, &page);
+	send_reply(world.last_call.xid, (xdrproc_t)xdr_dy_fetch_result_t,
+		   &page);
 }
 
-/* The leader grants the place and leaves the state to the image. */
-static void defer(void)
+/* The leader grants an incarnation and leaves out the state. */
+static void reply_without_state(void)
 {
 	dy_poll_result_t result = { .status = DY_STATUS_OK,
 				    .incarnation = 7,
 				    .more = 1 };
 
-	reply(world.xid, (xdrproc_t)xdr_dy_poll_result_t, &result);
+	send_reply(world.xid, (xdrproc_t)xdr_dy_poll_result_t, &result);
 }
 
 /*
- * All balancers start at once. Each gets the state as an image, from any
- * control, and asks the leader only for its place and a confirmation: paged out
- * by the leader to each of them the state takes a second and more.
+ * Guards against an overloaded leader when all balancers start at once: if the
+ * leader sends the state to each of them in pages, it takes a second or more.
+ * Each must get the state as an image from any control, and from the leader
+ * only its incarnation and a confirmation.
  */
-START_TEST(balancer_starts_from_an_image)
+START_TEST(balancer_starts_from_image)
 {
 	dy_poll_result_t result = { .status = DY_STATUS_OK,
 				    .state_version = 50 };
 
-	begin_as(1);
+	setup_with(1);
 	ck_assert_uint_ne(world.skips & DY_SKIP_START, 0);
-	defer();
+	reply_without_state();
 	ck_assert_uint_eq(dy_subscriber_incarnation(world.subscriber), 7);
-	while (world.question.procedure != DY_CONTROL_IMAGE)
+	while (world.last_call.procedure != DY_CONTROL_IMAGE)
 		uv_run(dy_loop_uv(world.loop), UV_RUN_ONCE);
-	ck_assert_uint_eq(polls(), 1);
+	ck_assert_uint_eq(poll_count(), 1);
 	reply_image(48, 3);
 	ck_assert_uint_eq(world.members, 3);
 	ck_assert_uint_eq(world.caught_up, 0);
@@ -379,112 +384,113 @@
 	ck_assert_uint_eq(world.polled_version, 48);
 	ck_assert_uint_eq(world.skips & DY_SKIP_START, 0);
 	ck_assert_uint_ne(world.skips & DY_FROM_IMAGE, 0);
-	reply(world.xid, (xdrproc_t)xdr_dy_poll_result_t, &result);
+	send_reply(world.xid, (xdrproc_t)xdr_dy_poll_result_t, &result);
 	ck_assert_uint_eq(world.caught_up, 1);
 	ck_assert_uint_eq(dy_subscriber_version(world.subscriber), 50);
-	end();
+	teardown();
 }
 END_TEST
 
 /*
- * The image comes while the leader is still at work on the first poll. Its
- * answer, of the state before, is no older state that is to be refused.
+ * The image arrives while the leader still processes the first poll. The
+ * leader's answer to it carries no state and must not count as an older state.
  */
-START_TEST(image_may_come_before_the_first_answer)
+START_TEST(accepts_first_answer_after_image)
 {
-	begin_as(1);
-	invite(world.asked);
-	while (world.question.procedure != DY_CONTROL_IMAGE)
+	setup_with(1);
+	send_invitation(world.polled_control);
+	while (world.last_call.procedure != DY_CONTROL_IMAGE)
 		uv_run(dy_loop_uv(world.loop), UV_RUN_ONCE);
 	reply_image(48, 3);
 	ck_assert_uint_eq(world.members, 3);
-	defer();
+	reply_without_state();
 	ck_assert_uint_eq(
 		dy_metrics_value(world.metrics, "stale_state_refused"), 0);
 	ck_assert_uint_eq(dy_subscriber_incarnation(world.subscriber), 7);
 	dy_loop_run(world.loop);
 	while (world.polled_version != 48)
 		dy_loop_run(world.loop);
-	end();
+	teardown();
 }
 END_TEST
 
-/* A control without an image is waited for while another one has it. */
-START_TEST(image_that_is_refused_is_asked_for_elsewhere_at_once)
+/* Guards against waiting for a control without an image if another has one. */
+START_TEST(requests_refused_image_elsewhere_at_once)
 {
 	dy_image_result_t none = { .status = DY_STATUS_UNAVAILABLE };
 	uint64_t sent;
 	uint32_t xid;
 
-	begin_as(1);
+	setup_with(1);
 	none.info.environment = "trial";
-	defer();
-	while (world.question.procedure != DY_CONTROL_IMAGE)
+	reply_without_state();
+	while (world.last_call.procedure != DY_CONTROL_IMAGE)
 		uv_run(dy_loop_uv(world.loop), UV_RUN_ONCE);
-	xid = world.question.xid;
+	xid = world.last_call.xid;
 	sent = dy_metrics_value(world.metrics, "control_bytes_sent");
-	reply(xid, (xdrproc_t)xdr_dy_image_result_t, &none);
+	send_reply(xid, (xdrproc_t)xdr_dy_image_result_t, &none);
 	ck_assert_uint_gt(dy_metrics_value(world.metrics, "control_bytes_sent"),
 			  sent);
-	while (world.question.xid == xid)
+	while (world.last_call.xid == xid)
 		uv_run(dy_loop_uv(world.loop), UV_RUN_ONCE);
 	reply_image(48, 3);
 	ck_assert_uint_eq(world.members, 3);
-	end();
+	teardown();
 }
 END_TEST
 
 /*
- * No control gives an image, as controls of an older build do not know of any.
- * After some tries the leader is asked for the state itself.
+ * No control sends an image, as controls of an older build do not have the
+ * procedure. After some attempts the leader must be asked for the state.
  */
-START_TEST(leader_gives_the_state_if_no_image_comes)
+START_TEST(gets_state_from_leader_without_image)
 {
-	begin_as(1);
-	defer();
+	setup_with(1);
+	reply_without_state();
 	while (world.skips & DY_SKIP_START)
 		dy_loop_run(world.loop);
 	ck_assert_uint_eq(world.polled_version, 0);
-	end();
+	teardown();
 }
 END_TEST
 
 /*
- * An agent is told to stop while its last poll waits at a slow control. Were
- * that poll awaited, balancers would learn of the stop when the agent is silent
- * already, and take it for lost with its flows.
+ * Guards against a stop that balancers learn of too late: an agent is stopped
+ * while its last poll waits at a slow control. If it waited for that answer,
+ * balancers would see the agent unresponsive before they see it drain, and
+ * would treat it and its flows as lost.
  */
-START_TEST(stop_is_told_at_once)
+START_TEST(reports_stop_at_once)
 {
 	uint32_t first;
 
-	begin();
+	setup();
 	first = world.xid;
 	dy_subscriber_set_state(world.subscriber, DY_MEMBER_SERVING, NULL, 0);
 	dy_subscriber_press(world.subscriber);
-	ck_assert_uint_eq(polls(), 1);
+	ck_assert_uint_eq(poll_count(), 1);
 	dy_subscriber_set_state(world.subscriber, DY_MEMBER_DRAINING, NULL, 0);
 	dy_subscriber_press(world.subscriber);
-	ck_assert_uint_eq(polls(), 2);
+	ck_assert_uint_eq(poll_count(), 2);
 	dy_loop_run(world.loop);
 	ck_assert_uint_ne(world.xid, first);
-	end();
+	teardown();
 }
 END_TEST
 
 int main(void)
 {
 	const TTest *const tests[] = {
-		leader_that_is_named_is_polled_at_once,
-		controls_that_name_each_other_are_polled_in_time,
-		leader_that_cannot_serve_yet_is_polled_again,
-		answer_to_any_copy_of_a_poll_counts,
-		leader_that_invites_is_polled_at_once,
-		balancer_starts_from_an_image,
-		image_may_come_before_the_first_answer,
-		image_that_is_refused_is_asked_for_elsewhere_at_once,
-		leader_gives_the_state_if_no_image_comes,
-		stop_is_told_at_once,
+		polls_named_leader_at_once,
+		backs_off_when_controls_name_each_other,
+		polls_leader_again_that_cannot_serve_yet,
+		accepts_answer_to_any_transmission,
+		polls_inviting_leader_at_once,
+		balancer_starts_from_image,
+		accepts_first_answer_after_image,
+		requests_refused_image_elsewhere_at_once,
+		gets_state_from_leader_without_image,
+		reports_stop_at_once,
 		NULL,
 	};
 
--- a/tests/test_wire.c
+++ b/tests/test_wire.c
@@ -18,7 +18,7 @@
 
 static const dy_secrets_t secrets = { { { 1 } }, 1 };
 
-START_TEST(addresses_round_trip)
+START_TEST(parses_and_formats_addresses)
 {
 	static const char *const good[] = { "127.0.0.1:80", "[::1]:65535",
 					    "10.0.0.1:0", NULL };
@@ -45,7 +45,7 @@
 }
 END_TEST
 
-START_TEST(refusal_is_read_back)
+START_TEST(decodes_written_refusal)
 {
 	dy_refusal_t refusal = { DY_NOT_RUN, DY_REASON_OVERLOAD, 750 };
 	dy_refusal_t back;
@@ -66,11 +66,11 @@
 END_TEST
 
 /*
- * A datagram is cut anywhere on its way, or its length words lie. A parser
- * that trusted them would read outside of it. Every prefix of a good call
- * and every single changed byte must be parsed or refused, never more.
+ * Guards against reads outside a datagram that was truncated or whose length
+ * fields are wrong. Every prefix of a valid call must be rejected, and with
+ * any byte changed it must be rejected or parsed within its bounds.
  */
-START_TEST(cut_and_changed_calls_are_safe)
+START_TEST(rejects_truncated_call_and_parses_changed_one_in_bounds)
 {
 	uint8_t body[24] = { 9 };
 	uint8_t out[DY_RPC_MAX_HEADER_BYTES];
@@ -117,11 +117,11 @@
 }
 
 /*
- * Someone on the network changes a byte of a token to reach another service
- * or another's session. Each changed byte must be noticed, also when the
- * good token was checked just before and is still remembered.
+ * Guards against an attacker on the network who changes a byte of a token to
+ * reach another service or session. Each changed byte must be detected, also
+ * if the valid token was checked just before and is cached.
  */
-START_TEST(changed_token_is_forged)
+START_TEST(rejects_changed_token)
 {
 	dy_keyring_t *ring = create_ring(3);
 	dy_token_t token = { .service = 1, .session = 2 };
@@ -143,11 +143,10 @@
 END_TEST
 
 /*
- * Control rotates the token keys while stations stream. Their tokens of the
- * key before must go on being good until that key is retired, or every flow
- * would break at once.
+ * Guards against a key rotation that breaks all flows at once: a token under
+ * the previous key must stay valid until that key is retired.
  */
-START_TEST(rotation_keeps_older_tokens)
+START_TEST(accepts_token_of_previous_key_until_retired)
 {
 	dy_keyring_t *ring = create_ring(1);
 	dy_key_info_t next = { .id = 2, .active = TRUE };
@@ -168,11 +167,12 @@
 END_TEST
 
 /*
- * The key file is rolled over process by process: the new secret is added
- * everywhere, then moved first. A station's token from before, or from an
- * agent that has not been restarted yet, must stay good, or its flow breaks.
+ * Guards against broken flows during a change of the key file, which is made
+ * process by process: the new secret is appended on all, then moved to the
+ * first line on all. A token of an earlier step, or from an agent that was not
+ * restarted yet, must stay valid.
  */
-START_TEST(token_outlives_the_roll_over_of_the_key_file)
+START_TEST(accepts_token_during_change_of_key_file)
 {
 	static const dy_secrets_t added = { { { 1 }, { 2 } }, 2 };
 	static const dy_secrets_t moved = { { { 2 }, { 1 } }, 2 };
@@ -204,7 +204,7 @@
 }
 END_TEST
 
-START_TEST(every_reason_has_a_name)
+START_TEST(names_reasons_and_verdicts)
 {
 	ck_assert_str_eq(dy_reason_name(DY_REASON_DUPLICATE), "duplicate");
 	ck_assert_str_eq(dy_reason_name(DY_REASON_UNKNOWN_PROGRAM),
@@ -226,11 +226,11 @@
 }
 
 /*
- * A message between two processes is recorded and sent once more, or changed
- * on its way. The second copy and every changed one must be dropped and
- * counted; messages that overtake each other must not.
+ * Guards against a message between two processes that is recorded and sent
+ * again, or modified on its way. Each replayed or modified message must be
+ * dropped and counted; messages that were only reordered must not.
  */
-START_TEST(replayed_and_forged_messages_are_dropped)
+START_TEST(drops_replayed_and_forged_messages)
 {
 	dy_metrics_t *metrics = dy_metrics_create();
 	dy_seal_t *from = dy_seal_create(&secrets, metrics);
@@ -263,11 +263,12 @@
 END_TEST
 
 /*
- * A version is rolled out process by process. A newer control answers an
- * older balancer with a field more: refused as malformed, the balancer would
- * lose its lease, and all of them in turn.
+ * Guards against lost leases during an upgrade, which is made process by
+ * process. A newer control answers an older balancer with an additional field.
+ * If the balancer rejected the answer as malformed, it would lose its lease,
+ * and so would every other one.
  */
-START_TEST(messages_of_other_builds_are_read)
+START_TEST(decodes_messages_of_other_builds)
 {
 	uint8_t bytes[64] = { 0 };
 	dy_sealed_t message = { .body = bytes };
@@ -292,7 +293,7 @@
 }
 END_TEST
 
-START_TEST(secret_is_rolled_over)
+START_TEST(accepts_message_of_second_secret)
 {
 	static const dy_secrets_t both = { { { 2 }, { 1 } }, 2 };
 	dy_metrics_t *metrics = dy_metrics_create();
@@ -329,11 +330,12 @@
 }
 
 /*
- * A new message was given a program number that another had. Balancers took
- * what agents told them of their flows for it and dropped it: each flow's next
- * packet was searched for, and some requests in a hundred failed all day.
+ * Guards against two programs on one socket with the same number. This
+ * happened with a new message: balancers mistook the flow reports of agents
+ * for it and dropped them, so that the next packet of each flow started a
+ * search, and some percent of the requests failed all day.
  */
-START_TEST(programs_of_one_socket_have_numbers_of_their_own)
+START_TEST(programs_of_one_socket_have_distinct_numbers)
 {
 	const uint32_t control[] = { DY_CONTROL_PROGRAM, DY_STATUS_PROGRAM,
 				     DY_GROUP_PROGRAM, DY_LEDGER_PROGRAM };
@@ -359,17 +361,17 @@
 int main(void)
 {
 	const TTest *const tests[] = {
-		addresses_round_trip,
-		refusal_is_read_back,
-		cut_and_changed_calls_are_safe,
-		changed_token_is_forged,
-		rotation_keeps_older_tokens,
-		token_outlives_the_roll_over_of_the_key_file,
-		every_reason_has_a_name,
-		replayed_and_forged_messages_are_dropped,
-		secret_is_rolled_over,
-		messages_of_other_builds_are_read,
-		programs_of_one_socket_have_numbers_of_their_own,
+		parses_and_formats_addresses,
+		decodes_written_refusal,
+		rejects_truncated_call_and_parses_changed_one_in_bounds,
+		rejects_changed_token,
+		accepts_token_of_previous_key_until_retired,
+		accepts_token_during_change_of_key_file,
+		names_reasons_and_verdicts,
+		drops_replayed_and_forged_messages,
+		accepts_message_of_second_secret,
+		decodes_messages_of_other_builds,
+		programs_of_one_socket_have_distinct_numbers,
 		NULL,
 	};
 
