--- a/include/damaskyard/log.h
+++ b/include/damaskyard/log.h
@@ -24,7 +24,7 @@
 /*
  * Set the lowest level that is written and the role of the process that every
  * line carries. role is kept by reference and may be NULL. Lines go to
- * stderr unless dy_log_to() sets another descriptor.
+ * stderr unless dy_log_set_descriptor() sets another descriptor.
  */
 void dy_log_configure(dy_log_level_t min, const char *role);
 
@@ -33,7 +33,7 @@
  * would block is dropped; an event=log_dropped line with the number of
  * dropped lines precedes the next line that is written.
  */
-void dy_log_to(int descriptor);
+void dy_log_set_descriptor(int descriptor);
 
 /*
  * Parse "debug", "info", "warn" or "error". Returns 0, or -1 for any other
--- a/include/damaskyard/loop.h
+++ b/include/damaskyard/loop.h
@@ -24,16 +24,16 @@
  * retransmits.
  *
  * 2 s is eight ticks, so that a busy loop does not count as suspended, and
- * far below DY_RETRANSMIT_MS, for which duplicates are recognised.
+ * far below DY_RETRANSMIT_WINDOW_MS, for which duplicates are recognised.
  */
-#define DY_STALL_MS 2000
+#define DY_STALL_THRESHOLD_MS 2000
 
 /*
  * Time in ms after which no retransmission or duplicate of a datagram arrives
  * any more: the default total timeout of an ONC RPC caller (25 s) plus the
  * maximum segment lifetime of the network (60 s), rounded up.
  */
-#define DY_RETRANSMIT_MS 120000
+#define DY_RETRANSMIT_WINDOW_MS 120000
 
 typedef struct dy_loop dy_loop_t;
 
@@ -58,13 +58,13 @@
  * Call stop(context) at the first SIGTERM or SIGINT, to start a graceful
  * shutdown. A second signal ends the loop at once.
  */
-typedef void dy_loop_stop_cb_t(void *context);
-void dy_loop_on_stop(dy_loop_t *loop, dy_loop_stop_cb_t *stop, void *context);
+typedef void dy_loop_signal_cb_t(void *context);
+void dy_loop_on_stop(dy_loop_t *loop, dy_loop_signal_cb_t *stop, void *context);
 
 /*
  * Call reload(context) at each SIGHUP. Without this SIGHUP ends the process.
  */
-void dy_loop_on_reload(dy_loop_t *loop, dy_loop_stop_cb_t *reload,
+void dy_loop_on_reload(dy_loop_t *loop, dy_loop_signal_cb_t *reload,
 		       void *context);
 
 /* Run the loop until dy_loop_end(). */
--- a/include/damaskyard/poll_pace.h
+++ b/include/damaskyard/poll_pace.h
@@ -31,13 +31,13 @@
  * Two polls per second of about 300 bytes, with answers of the same size, use
  * 1.2 KB/s of the 3 KB/s that a member may use for control traffic.
  */
-#define DY_POLL_MS 500
+#define DY_POLL_INTERVAL_MS 500
 
 /* Upper bound in ms of the interval that control sets. */
-#define DY_POLL_MOST_MS 5000
+#define DY_POLL_INTERVAL_MAX_MS 5000
 
 /* Minimum time in ms from the last poll to an early one. */
-#define DY_POLL_PRESSED_MS 50
+#define DY_POLL_EARLY_INTERVAL_MS 50
 
 /*
  * Initial retransmission timeout of a poll in ms, for a member that was
@@ -56,35 +56,36 @@
  * Initial backoff in ms after the answer of a control that cannot serve the
  * poll. It doubles with each such answer.
  */
-#define DY_POLL_AGAIN_MS 50
+#define DY_POLL_BACKOFF_MS 50
 
 /* Upper bound in ms of timeout and backoff, without jitter. */
-#define DY_POLL_RETRY_MOST_MS 1600
+#define DY_POLL_BACKOFF_MAX_MS 1600
 
 /*
  * Time to live of a poll in ms. After it a new poll is sent instead of a
  * retransmission, because an answer confirms control only for the time of the
  * first transmission.
  */
-#define DY_POLL_KEPT_MS 1000
+#define DY_POLL_TTL_MS 1000
 
 typedef enum dy_poll_step {
-	DY_POLL_WAIT,	  /* nothing is due */
-	DY_POLL_SEND_NEW, /* under a new xid */
-	DY_POLL_SEND_COPY /* under the same xid */
+	DY_POLL_WAIT,	   /* nothing is due */
+	DY_POLL_SEND_NEW,  /* under a new xid */
+	DY_POLL_RETRANSMIT /* under the same xid */
 } dy_poll_step_t;
 
 typedef struct dy_poll_pace {
 	GRand *rand;
-	uint64_t due_ms;   /* next transmission */
-	uint64_t begun_ms; /* first transmission of the current poll */
-	uint64_t sent_ms;  /* its last transmission */
-	uint64_t poll_ms;  /* interval, as set by control */
-	uint32_t retry_ms; /* next retransmission timeout, without jitter */
-	uint32_t again_ms; /* next backoff, without jitter */
-	int under_way;	   /* a poll waits for its answer */
-	int outdated;	   /* content changed since it was sent */
-	int confirmed;	   /* control has answered at least once */
+	uint64_t due_ms;	/* next transmission */
+	uint64_t first_sent_ms; /* first transmission of the current poll */
+	uint64_t last_sent_ms;	/* its last transmission */
+	uint64_t interval_ms;	/* interval, as set by control */
+	uint32_t
+		retransmit_ms; /* next retransmission timeout, without jitter */
+	uint32_t backoff_ms;   /* next backoff, without jitter */
+	int in_flight;	       /* a poll waits for its answer */
+	int outdated;	       /* content changed since it was sent */
+	int confirmed;	       /* control has answered at least once */
 } dy_poll_pace_t;
 
 /*
@@ -98,35 +99,35 @@
 dy_poll_step_t dy_poll_pace_next(const dy_poll_pace_t *pace, uint64_t now_ms);
 
 /* Record that the step that dy_poll_pace_next() returned was done. */
-void dy_poll_pace_sent(dy_poll_pace_t *pace, dy_poll_step_t step,
-		       uint64_t now_ms);
+void dy_poll_pace_note_sent(dy_poll_pace_t *pace, dy_poll_step_t step,
+			    uint64_t now_ms);
 
 /* Record the answer to the poll; poll_ms is the interval set by control. */
-void dy_poll_pace_answered(dy_poll_pace_t *pace, uint64_t poll_ms);
+void dy_poll_pace_note_answer(dy_poll_pace_t *pace, uint64_t poll_ms);
 
 /*
  * Record that a control cannot serve the poll, which stays in flight; the
  * next transmission is due after the backoff.
  */
-void dy_poll_pace_turned_away(dy_poll_pace_t *pace, uint64_t now_ms);
+void dy_poll_pace_back_off(dy_poll_pace_t *pace, uint64_t now_ms);
 
 /* Make the next transmission due at once, as when the leader is known. */
-void dy_poll_pace_hasten(dy_poll_pace_t *pace, uint64_t now_ms);
+void dy_poll_pace_poll_now(dy_poll_pace_t *pace, uint64_t now_ms);
 
 /*
  * Record that the content of the poll has changed. A new poll is due at once;
  * if one is in flight, which control may be processing, then as soon as it is
  * answered.
  */
-void dy_poll_pace_renew(dy_poll_pace_t *pace);
+void dy_poll_pace_note_change(dy_poll_pace_t *pace);
 
 /* Abandon a poll in flight; a new poll is due at once. */
 void dy_poll_pace_reset(dy_poll_pace_t *pace);
 
 /*
- * Make a poll due DY_POLL_PRESSED_MS after the last transmission, unless one
- * is in flight or due earlier.
+ * Make a poll due DY_POLL_EARLY_INTERVAL_MS after the last transmission, unless
+ * one is in flight or due earlier.
  */
-void dy_poll_pace_press(dy_poll_pace_t *pace);
+void dy_poll_pace_poll_early(dy_poll_pace_t *pace);
 
 #endif
--- a/include/damaskyard/settings.h
+++ b/include/damaskyard/settings.h
@@ -14,10 +14,10 @@
 #include "damaskyard/address.h"
 
 /* Maximum number of addresses in one setting, such as --controls. */
-#define DY_SETTING_ADDRESSES 16
+#define DY_SETTING_ADDRESSES_MAX 16
 
 typedef struct dy_address_list {
-	dy_address_t items[DY_SETTING_ADDRESSES];
+	dy_address_t items[DY_SETTING_ADDRESSES_MAX];
 	int count;
 } dy_address_list_t;
 
@@ -36,10 +36,10 @@
 	dy_setting_kind_t kind;
 	void *value; /* result, of the type that kind says */
 	gboolean required;
-	const char *fallback; /* default, as text; NULL: none */
-	uint64_t least;	      /* numbers only */
-	uint64_t most;	      /* numbers only; 0: no limit */
-	const char *argument; /* placeholder in the help: FILE, IP:PORT */
+	const char *default_text; /* default, as text; NULL: none */
+	uint64_t min;		  /* numbers only */
+	uint64_t max;		  /* numbers only; 0: no limit */
+	const char *argument;	  /* placeholder in the help: FILE, IP:PORT */
 	const char *help;
 } dy_setting_t;
 
--- a/include/damaskyard/status_service.h
+++ b/include/damaskyard/status_service.h
@@ -36,11 +36,11 @@
  * Count the next line. Returns whether it belongs on this page; the caller
  * need not format it otherwise.
  */
-int dy_status_page_wants(dy_status_page_t *page);
+int dy_status_page_begin_line(dy_status_page_t *page);
 
 /*
- * Append a line for which dy_status_page_wants() returned 1. format is that
- * of printf; the newline is added. Sets more if the line does not fit.
+ * Append a line for which dy_status_page_begin_line() returned 1. format is
+ * that of printf; the newline is added. Sets more if the line does not fit.
  */
 void dy_status_page_add(dy_status_page_t *page, const char *format, ...)
 	__attribute__((format(printf, 2, 3)));
--- a/include/damaskyard/subscriber.h
+++ b/include/damaskyard/subscriber.h
@@ -90,9 +90,9 @@
 
 /*
  * Poll before the interval ends, for a caller that waits for a confirmation.
- * The rate is limited to one poll in DY_POLL_PRESSED_MS.
+ * The rate is limited to one poll in DY_POLL_EARLY_INTERVAL_MS.
  */
-void dy_subscriber_press(dy_subscriber_t *subscriber);
+void dy_subscriber_poll_early(dy_subscriber_t *subscriber);
 
 /* Report that the document of this number is in effect. Polls at once. */
 void dy_subscriber_set_document(dy_subscriber_t *subscriber, uint64_t number);
@@ -116,10 +116,10 @@
  * Returns the time in ms since the start of the last poll that a majority
  * confirmed, or UINT64_MAX if there was none.
  */
-uint64_t dy_subscriber_age_ms(const dy_subscriber_t *subscriber);
+uint64_t dy_subscriber_confirmation_age_ms(const dy_subscriber_t *subscriber);
 
 /* Returns whether the group has confirmed the state set last. */
-int dy_subscriber_settled(const dy_subscriber_t *subscriber);
+int dy_subscriber_is_state_confirmed(const dy_subscriber_t *subscriber);
 
 /* Returns the version of the group's state that has been passed on. */
 uint64_t dy_subscriber_version(const dy_subscriber_t *subscriber);
--- a/src/process/burn.c
+++ b/src/process/burn.c
@@ -78,8 +78,8 @@
  * The current, incomplete period counts as one of the window's periods, so
  * that a window is not empty right after the start.
  */
-void dy_burn_load(dy_burn_t *burn, dy_window_t window, uint64_t now_ms,
-		  dy_tally_t *tally)
+void dy_burn_sum_window(dy_burn_t *burn, dy_window_t window, uint64_t now_ms,
+			dy_tally_t *tally)
 {
 	const window_spec_t *spec = &window_specs[window];
 	bucket_t *ring = spec->coarse ? burn->coarse : burn->fine;
@@ -104,7 +104,7 @@
 	return total;
 }
 
-double dy_tally_burn(const dy_tally_t *tally, double objective)
+double dy_tally_burn_rate(const dy_tally_t *tally, double objective)
 {
 	uint64_t total = dy_tally_total(tally);
 	uint64_t failed = total - tally->counts[DY_OUTCOME_GOOD];
@@ -150,7 +150,7 @@
 	int i;
 
 	for (i = 0; i < DY_WINDOWS; i++) {
-		dy_burn_load(burn, (dy_window_t)i, now_ms, &tally);
+		dy_burn_sum_window(burn, (dy_window_t)i, now_ms, &tally);
 		publish_window(metrics, service, (dy_window_t)i, &tally);
 	}
 }
--- a/src/process/control/control_inspect.c
+++ b/src/process/control/control_inspect.c
@@ -1,7 +1,7 @@
 /*
- * What `damaskyard status` prints. One line an item:
+ * The status lines that `damaskyard status` prints, one line per item:
  *
- *	group leader=1 term=4 commit=812 version=810 members=24
+ *	group leader=1 term=4 commit=812 version=810
  *	control id=1 address=IP:PORT role=voter lag=0 heard_ms=12
  *	document environment=trial number=3 digest=HEX in_force=8/8 tried=1
  *		operator=NAME
@@ -12,8 +12,9 @@
  *		state=serving incarnation=70 address=IP:PORT domain=d1
  *		document=3 drain=0 heard_ms=140
  *
- * Each stands on one line. lag counts entries that a control lacks; document
- * and heard_ms of a member are as it told this leader.
+ * Each item is printed on one line. lag is the number of log entries that a
+ * control lacks. document and heard_ms of a member are as reported to this
+ * leader.
  */
 
 #include <string.h>
@@ -24,7 +25,7 @@
 
 static void add_group(const dy_control_t *control, dy_status_page_t *page)
 {
-	if (dy_status_page_wants(page))
+	if (dy_status_page_begin_line(page))
 		dy_status_page_add(
 			page, "group leader=%u term=%lu commit=%lu version=%lu",
 			dy_raft_leader(control->raft).slot,
@@ -57,7 +58,7 @@
 	unsigned i;
 
 	for (i = 0; i < config->members.members_len; i++)
-		if (dy_status_page_wants(page))
+		if (dy_status_page_begin_line(page))
 			add_control(control, page,
 				    &config->members.members_val[i]);
 }
@@ -71,7 +72,7 @@
 	unsigned in_force;
 	unsigned live;
 
-	if (!document->number || !dy_status_page_wants(page))
+	if (!document->number || !dy_status_page_begin_line(page))
 		return;
 	dy_registry_count_in_force(control->registry, environment, &live,
 				   &in_force);
@@ -94,7 +95,7 @@
 
 	keys = dy_registry_keys(control->registry, &count);
 	for (i = 0; i < count; i++)
-		if (dy_status_page_wants(page))
+		if (dy_status_page_begin_line(page))
 			dy_status_page_add(
 				page, "key id=%u active=%d retired=%d",
 				keys[i].info.id, !!keys[i].info.active,
@@ -109,7 +110,7 @@
 
 	domains = dy_registry_domains(control->registry, &count);
 	for (i = 0; i < count; i++)
-		if (domains[i].evacuated && dy_status_page_wants(page))
+		if (domains[i].evacuated && dy_status_page_begin_line(page))
 			dy_status_page_add(
 				page, "domain name=%s evacuated=1 operator=%s",
 				dy_log_quote(domains[i].name),
@@ -127,7 +128,7 @@
 	char text[DY_ADDRESS_TEXT_BYTES];
 	dy_address_t address;
 
-	if (!dy_status_page_wants(lines->page))
+	if (!dy_status_page_begin_line(lines->page))
 		return;
 	memcpy(address.ip, member->ip, DY_IP_BYTES);
 	address.port = member->port;
@@ -169,7 +170,7 @@
 	result.status = status;
 	result.more = page.more;
 	result.lines = page.lines;
-	control_show_leader(control, &result.leader);
+	control_leader_address(control, &result.leader);
 	control_answer_request(request, (xdrproc_t)xdr_dy_inspect_result_t,
 			       &result);
 }
@@ -179,7 +180,8 @@
 	request_t *request = context;
 
 	(void)index;
-	answer_inspect(request, control_status_of(request->control, result));
+	answer_inspect(request,
+		       control_status_from_result(request->control, result));
 }
 
 void control_inspect(dy_control_t *control, const dy_sealed_t *message,
@@ -194,8 +196,12 @@
 				       sizeof(dy_inspect_t));
 	if (!request)
 		return;
-	/* Also of a group that does not serve yet: operators ask why. */
+	/*
+	 * Answered also while the group does not serve yet, so that operators
+	 * can see why.
+	 */
 	result = dy_raft_read(control->raft, on_confirmed, request);
 	if (result != DY_RAFT_DONE)
-		answer_inspect(request, control_status_of(control, result));
+		answer_inspect(request,
+			       control_status_from_result(control, result));
 }
--- a/src/process/report.h
+++ b/src/process/report.h
@@ -19,7 +19,7 @@
 typedef struct report {
 	GPtrArray *services; /* of report_service_t */
 	unsigned processes;  /* that were asked */
-	unsigned silent;     /* of them, without an answer */
+	unsigned unanswered; /* of them, without an answer */
 } report_t;
 
 /* Create an empty report, to free with report_destroy(). */
@@ -33,7 +33,7 @@
 void report_add_line(report_t *report, const char *line);
 
 /* Sort the services by name, after the last line. */
-void report_finish(report_t *report);
+void report_sort(report_t *report);
 
 /*
  * Returns the alert for a service's burn rate: "page" if it uses up 2 % of a
--- a/src/process/subscriber.c
+++ b/src/process/subscriber.c
@@ -85,7 +85,7 @@
 
 	if (!count)
 		return;
-	learned->count = (int)MIN(count, (u_int)DY_SETTING_ADDRESSES);
+	learned->count = (int)MIN(count, (u_int)DY_SETTING_ADDRESSES_MAX);
 	memcpy(learned->items, result->controls.controls_val,
 	       (size_t)learned->count * sizeof(learned->items[0]));
 }
@@ -94,7 +94,7 @@
 			 uint32_t procedure, uint32_t xid, xdrproc_t proc,
 			 void *args)
 {
-	dy_seal_head_t head = { xid, DY_CONTROL_PROGRAM, procedure };
+	dy_seal_header_t head = { xid, DY_CONTROL_PROGRAM, procedure };
 	uint8_t out[REQUEST_MAX_BYTES];
 	size_t len;
 
@@ -162,10 +162,10 @@
 		++*subscriber->poll_copies;
 	}
 	++*subscriber->polls;
-	if (subscriber->pace.under_way && !subscriber->redirected)
+	if (subscriber->pace.in_flight && !subscriber->redirected)
 		choose_next_control(subscriber);
 	subscriber->redirected = 0;
-	dy_poll_pace_sent(&subscriber->pace, step, now_ms(subscriber));
+	dy_poll_pace_note_sent(&subscriber->pace, step, now_ms(subscriber));
 	send_poll(subscriber);
 }
 
@@ -248,7 +248,7 @@
 		subscriber->state_version = image->state_version;
 		subscriber->from_image = 1;
 	}
-	dy_poll_pace_renew(&subscriber->pace);
+	dy_poll_pace_note_change(&subscriber->pace);
 }
 
 static const state_source_callbacks_t source_callbacks = {
@@ -301,11 +301,11 @@
 	subscriber->redirect_followed = 0;
 	subscriber->redirected = 0;
 	subscriber->confirmed = 1;
-	subscriber->confirmed_ms = subscriber->pace.begun_ms;
+	subscriber->confirmed_ms = subscriber->pace.first_sent_ms;
 	subscriber->confirmed_generation = subscriber->polled_generation;
 	update_controls(subscriber, result);
 	apply_grant(subscriber, result->incarnation);
-	dy_poll_pace_answered(&subscriber->pace, result->poll_ms);
+	dy_poll_pace_note_answer(&subscriber->pace, result->poll_ms);
 	if (result->drain)
 		report_drain(subscriber);
 }
@@ -315,7 +315,7 @@
 {
 	start_image(subscriber);
 	if (!needs_image(subscriber))
-		dy_poll_pace_hasten(&subscriber->pace, now_ms(subscriber));
+		dy_poll_pace_poll_now(&subscriber->pace, now_ms(subscriber));
 }
 
 static void apply_result(dy_subscriber_t *subscriber,
@@ -337,7 +337,7 @@
 	subscriber->state_version = result->state_version;
 	subscriber->from_image = 0;
 	if (result->more)
-		dy_poll_pace_hasten(&subscriber->pace, now_ms(subscriber));
+		dy_poll_pace_poll_now(&subscriber->pace, now_ms(subscriber));
 	else if (subscriber->config.callbacks->caught_up)
 		subscriber->config.callbacks->caught_up(
 			subscriber->config.context);
@@ -365,7 +365,7 @@
 static void handle_not_leader(dy_subscriber_t *subscriber,
 			      const dy_address_t *leader)
 {
-	dy_poll_pace_turned_away(&subscriber->pace, now_ms(subscriber));
+	dy_poll_pace_back_off(&subscriber->pace, now_ms(subscriber));
 	if (!leader->port || is_current_control(subscriber, leader)) {
 		subscriber->redirect_followed = 0;
 		return;
@@ -373,7 +373,7 @@
 	redirect_to(subscriber, leader);
 	start_image(subscriber);
 	if (!subscriber->redirect_followed)
-		dy_poll_pace_hasten(&subscriber->pace, now_ms(subscriber));
+		dy_poll_pace_poll_now(&subscriber->pace, now_ms(subscriber));
 	subscriber->redirect_followed = !subscriber->redirect_followed;
 }
 
@@ -388,7 +388,7 @@
 	subscriber->redirect_followed = 0;
 	if (is_current_control(subscriber, leader))
 		redirect_to(subscriber, leader);
-	dy_poll_pace_turned_away(&subscriber->pace, now_ms(subscriber));
+	dy_poll_pace_back_off(&subscriber->pace, now_ms(subscriber));
 }
 
 static void handle_refusal(dy_subscriber_t *subscriber, dy_status_t status)
@@ -433,7 +433,7 @@
 		handle_unavailable(subscriber, &result.leader);
 		break;
 	default:
-		dy_poll_pace_answered(&subscriber->pace, result.poll_ms);
+		dy_poll_pace_note_answer(&subscriber->pace, result.poll_ms);
 		handle_refusal(subscriber, result.status);
 		break;
 	}
@@ -450,14 +450,15 @@
 {
 	dy_invite_t invite = { 0 };
 
-	if (!dy_sealed_fill(message, (xdrproc_t)xdr_dy_invite_t, &invite) ||
+	if (!dy_sealed_load_in_place(message, (xdrproc_t)xdr_dy_invite_t,
+				     &invite) ||
 	    !invite.leader.port)
 		return;
 	++*subscriber->invitations;
 	subscriber->redirect_followed = 0;
 	redirect_to(subscriber, &invite.leader);
 	start_image(subscriber);
-	dy_poll_pace_hasten(&subscriber->pace, now_ms(subscriber));
+	dy_poll_pace_poll_now(&subscriber->pace, now_ms(subscriber));
 	poll_if_due(subscriber);
 }
 
@@ -483,7 +484,7 @@
 		return 1;
 	}
 	*subscriber->bytes_received += message->body_len + REPLY_HEADER_BYTES;
-	if (subscriber->pace.under_way && message->xid == subscriber->poll_xid)
+	if (subscriber->pace.in_flight && message->xid == subscriber->poll_xid)
 		receive_poll_result(subscriber, message);
 	else
 		receive_content(subscriber, message);
@@ -496,7 +497,7 @@
 
 	/* If the image fetch failed, the leader sends the state. */
 	if (state_source_tick(subscriber->source, now_ms(subscriber)))
-		dy_poll_pace_renew(&subscriber->pace);
+		dy_poll_pace_note_change(&subscriber->pace);
 	poll_if_due(subscriber);
 }
 
@@ -592,7 +593,7 @@
 static void poll_soon(dy_subscriber_t *subscriber)
 {
 	subscriber->state_generation++;
-	dy_poll_pace_renew(&subscriber->pace);
+	dy_poll_pace_note_change(&subscriber->pace);
 }
 
 void dy_subscriber_rejoin(dy_subscriber_t *subscriber)
@@ -638,10 +639,10 @@
 	poll_soon(subscriber);
 }
 
-void dy_subscriber_press(dy_subscriber_t *subscriber)
+void dy_subscriber_poll_early(dy_subscriber_t *subscriber)
 {
 	if (subscriber->has_info)
-		dy_poll_pace_press(&subscriber->pace);
+		dy_poll_pace_poll_early(&subscriber->pace);
 	on_tick(subscriber);
 }
 
@@ -651,14 +652,14 @@
 	poll_soon(subscriber);
 }
 
-uint64_t dy_subscriber_age_ms(const dy_subscriber_t *subscriber)
+uint64_t dy_subscriber_confirmation_age_ms(const dy_subscriber_t *subscriber)
 {
 	if (!subscriber->confirmed)
 		return UINT64_MAX;
 	return now_ms(subscriber) - subscriber->confirmed_ms;
 }
 
-int dy_subscriber_settled(const dy_subscriber_t *subscriber)
+int dy_subscriber_is_state_confirmed(const dy_subscriber_t *subscriber)
 {
 	return subscriber->confirmed &&
 	       subscriber->confirmed_generation == subscriber->state_generation;
