--- a/include/damaskyard/poll_pace.h
+++ b/include/damaskyard/poll_pace.h
@@ -79,13 +79,12 @@
 	uint64_t due_ms;	/* next transmission */
 	uint64_t first_sent_ms; /* first transmission of the current poll */
 	uint64_t last_sent_ms;	/* its last transmission */
-	uint64_t interval_ms;	/* interval, as set by control */
-	uint32_t
-		retransmit_ms; /* next retransmission timeout, without jitter */
-	uint32_t backoff_ms;   /* next backoff, without jitter */
-	int in_flight;	       /* a poll waits for its answer */
-	int outdated;	       /* content changed since it was sent */
-	int confirmed;	       /* control has answered at least once */
+	uint64_t interval_ms;	/* as set by control */
+	uint32_t retransmit_ms; /* next timeout, without jitter */
+	uint32_t backoff_ms;	/* next backoff, without jitter */
+	int in_flight;		/* a poll waits for its answer */
+	int outdated;		/* content changed since it was sent */
+	int confirmed;		/* control has answered at least once */
 } dy_poll_pace_t;
 
 /*
@@ -102,8 +101,8 @@
 void dy_poll_pace_note_sent(dy_poll_pace_t *pace, dy_poll_step_t step,
 			    uint64_t now_ms);
 
-/* Record the answer to the poll; poll_ms is the interval set by control. */
-void dy_poll_pace_note_answer(dy_poll_pace_t *pace, uint64_t poll_ms);
+/* Record the answer to the poll; interval_ms is set by control. */
+void dy_poll_pace_note_answer(dy_poll_pace_t *pace, uint64_t interval_ms);
 
 /*
  * Record that a control cannot serve the poll, which stays in flight; the
--- a/src/process/poll_pace.c
+++ b/src/process/poll_pace.c
@@ -58,12 +58,12 @@
 	double_backoff(&pace->retransmit_ms);
 }
 
-void dy_poll_pace_note_answer(dy_poll_pace_t *pace, uint64_t poll_ms)
+void dy_poll_pace_note_answer(dy_poll_pace_t *pace, uint64_t interval_ms)
 {
 	pace->in_flight = 0;
 	pace->confirmed = 1;
-	pace->interval_ms =
-		CLAMP(poll_ms, DY_POLL_INTERVAL_MS, DY_POLL_INTERVAL_MAX_MS);
+	pace->interval_ms = CLAMP(interval_ms, DY_POLL_INTERVAL_MS,
+				  DY_POLL_INTERVAL_MAX_MS);
 	pace->due_ms =
 		pace->outdated ? 0 : pace->first_sent_ms + pace->interval_ms;
 }
--- a/tests/test_poll_pace.c
+++ b/tests/test_poll_pace.c
@@ -29,8 +29,7 @@
 			dy_poll_pace_note_sent(&paces[i], step, now);
 			sent[now / 1000]++;
 		}
-	/* A start is not delayed: three polls per member in the first second.
-	 */
+	/* A start is not delayed: three polls each in the first second. */
 	ck_assert_uint_ge(sent[0], 3 * MEMBERS);
 	for (i = 2; i < 10; i++)
 		ck_assert_uint_le(sent[i],
@@ -40,8 +39,7 @@
 }
 END_TEST
 
-/* Within the time to live a poll is retransmitted; after it, a new one is sent.
- */
+/* A poll is retransmitted within its time to live, then a new one is sent. */
 START_TEST(sends_new_poll_after_time_to_live)
 {
 	dy_poll_pace_t pace;
