--- a/src/process/poll_pace.c
+++ b/src/process/poll_pace.c
@@ -24,19 +24,19 @@
 	return DY_POLL_RETRANSMIT;
 }
 
-/* Draw from [ms, 1.5 ms), so that members that ask together part. */
-static uint64_t spread(dy_poll_pace_t *pace, uint32_t ms)
+/* Returns ms to 1.5 * ms, to desynchronize members that poll together. */
+static uint64_t add_jitter(dy_poll_pace_t *pace, uint32_t ms)
 {
 	return ms +
 	       (uint64_t)g_rand_int_range(pace->rand, 0, (gint32)ms / 2 + 1);
 }
 
-static void double_time(uint32_t *ms)
+static void double_backoff(uint32_t *ms)
 {
 	*ms = MIN(2 * *ms, DY_POLL_BACKOFF_MAX_MS);
 }
 
-static void begin(dy_poll_pace_t *pace)
+static void start_poll(dy_poll_pace_t *pace)
 {
 	pace->in_flight = 1;
 	pace->retransmit_ms =
@@ -48,30 +48,30 @@
 			    uint64_t now_ms)
 {
 	if (!pace->in_flight)
-		begin(pace);
+		start_poll(pace);
 	if (step == DY_POLL_SEND_NEW) {
 		pace->first_sent_ms = now_ms;
 		pace->outdated = 0;
 	}
 	pace->last_sent_ms = now_ms;
-	pace->due_ms = now_ms + spread(pace, pace->retransmit_ms);
-	double_time(&pace->retransmit_ms);
+	pace->due_ms = now_ms + add_jitter(pace, pace->retransmit_ms);
+	double_backoff(&pace->retransmit_ms);
 }
 
-void dy_poll_pace_note_answer(dy_poll_pace_t *pace, uint64_t poll_ms)
+void dy_poll_pace_note_answer(dy_poll_pace_t *pace, uint64_t interval_ms)
 {
 	pace->in_flight = 0;
 	pace->confirmed = 1;
-	pace->interval_ms =
-		CLAMP(poll_ms, DY_POLL_INTERVAL_MS, DY_POLL_INTERVAL_MAX_MS);
+	pace->interval_ms = CLAMP(interval_ms, DY_POLL_INTERVAL_MS,
+				  DY_POLL_INTERVAL_MAX_MS);
 	pace->due_ms =
 		pace->outdated ? 0 : pace->first_sent_ms + pace->interval_ms;
 }
 
 void dy_poll_pace_back_off(dy_poll_pace_t *pace, uint64_t now_ms)
 {
-	pace->due_ms = now_ms + spread(pace, pace->backoff_ms);
-	double_time(&pace->backoff_ms);
+	pace->due_ms = now_ms + add_jitter(pace, pace->backoff_ms);
+	double_backoff(&pace->backoff_ms);
 }
 
 void dy_poll_pace_poll_now(dy_poll_pace_t *pace, uint64_t now_ms)
