--- a/tests/test_platform.c
+++ b/tests/test_platform.c
@@ -1,4 +1,4 @@
-/* The platform's names and formats: bytes in, the product's types out. */
+/* Conversion of the platform's formats into the product's types. */
 
 #include <string.h>
 
@@ -11,7 +11,7 @@
 
 #define PACKET_BYTES (PLATFORM_HEAD_BYTES + 3)
 
-/* From 1.2.3.4:1000 to 5.6.7.8:80 with three bytes of data. */
+/* A packet from 1.2.3.4:1000 to 5.6.7.8:80 with three bytes of data. */
 static void make_packet(uint8_t bytes[PACKET_BYTES], uint8_t flags)
 {
 	static const uint8_t made[PACKET_BYTES] = {
@@ -33,7 +33,7 @@
 	bytes[8] = flags;
 }
 
-START_TEST(packet_is_decoded_for_both_senders)
+START_TEST(decodes_packet_of_caller_and_of_target)
 {
 	uint8_t bytes[PACKET_BYTES];
 	dy_packet_t packet;
@@ -62,8 +62,8 @@
 }
 END_TEST
 
-/* A datagram that is no packet must not be read beyond its end. */
-START_TEST(packet_of_a_wrong_length_is_refused)
+/* A datagram of another length must not be read beyond its end. */
+START_TEST(refuses_packet_of_wrong_length)
 {
 	uint8_t bytes[2000] = { 0 };
 	dy_packet_t packet;
@@ -75,7 +75,7 @@
 						       PLATFORM_FROM_CALLER,
 						       &packet),
 				 len == PACKET_BYTES);
-	/* 1,201 bytes of data, and said so. */
+	/* 1,201 bytes of data, with a header that says so. */
 	bytes[24] = 0xb1;
 	bytes[25] = 4;
 	ck_assert(platform_packet_load(bytes, PLATFORM_HEAD_BYTES + 1201,
@@ -83,7 +83,7 @@
 }
 END_TEST
 
-START_TEST(mark_changes_only_what_the_sum_leaves_out)
+START_TEST(set_tag_changes_only_bytes_outside_checksum)
 {
 	uint8_t before[PACKET_BYTES];
 	uint8_t after[PACKET_BYTES];
@@ -101,9 +101,8 @@
 }
 END_TEST
 
-/* A request's id is for logs alone; data that has none, or half, is no fault.
- */
-START_TEST(request_id_is_found_in_data)
+/* The id is for logs only; a packet without one, or with a part, is valid. */
+START_TEST(finds_request_id_in_data)
 {
 	static const char *const texts[] = {
 		"GET / HTTP/1.1\r\nX-Damaskyard-Request-Id: ab12\r\n\r\n",
@@ -132,7 +131,7 @@
 }
 END_TEST
 
-START_TEST(reset_goes_from_the_entry_to_the_caller)
+START_TEST(writes_reset_from_entry_to_caller)
 {
 	uint8_t bytes[PACKET_BYTES];
 	uint8_t reset[PLATFORM_HEAD_BYTES];
@@ -165,7 +164,7 @@
 	"{\"name\":\"r\",\"host\":\"" host "\",\"pathPrefix\":" \
 	"\"" prefix "\",\"timeoutMs\":9," rest "}"
 
-START_TEST(configuration_becomes_rules)
+START_TEST(parses_configuration_into_rules)
 {
 	char *text = configuration(
 		ROUTE("10.0.0.1", "/443/", "\"service\":\"a\"") "," ROUTE(
@@ -190,8 +189,11 @@
 }
 END_TEST
 
-/* A cold target is given what it does not bear, or a warm one held back. */
-START_TEST(rate_of_cold_targets_is_taken)
+/*
+ * A wrong rate would overload a cold target, or hold flows back from a warm
+ * one.
+ */
+START_TEST(parses_rate_limit_of_cold_targets)
 {
 	static const char text[] = "{\"version\":7,\"routes\":[],\"services\":["
 				   "{\"name\":\"a\",\"warmupPerS\":2.5},"
@@ -211,12 +213,11 @@
 }
 END_TEST
 
-/* What is refused may not be half in force, and says what is wrong. */
 /*
- * A filing that may run once only, taken for one that may be repeated, would be
- * broken off where its target is slow to answer.
+ * A request that may run only once would be aborted when its target is slow to
+ * answer, if it were treated as repeatable.
  */
-START_TEST(requests_may_be_repeated_only_if_the_route_says_so)
+START_TEST(marks_requests_repeatable_only_for_known_route_types)
 {
 	static const struct {
 		const char *kind;
@@ -251,7 +252,8 @@
 }
 END_TEST
 
-START_TEST(invalid_configuration_is_refused)
+/* A refused configuration yields no rules at all, but an error message. */
+START_TEST(refuses_invalid_configuration)
 {
 	static const char *const routes[] = {
 		ROUTE("10.0.0.1", "/443/", "\"service\":\"c\""),
@@ -295,8 +297,8 @@
 }
 END_TEST
 
-/* An order that was cut on its way, byte by byte, or is no object at all. */
-START_TEST(unreadable_configuration_is_refused)
+/* The configuration is truncated at any byte, or is not a valid object. */
+START_TEST(refuses_unreadable_configuration)
 {
 	static const char *const texts[] = {
 		"",
@@ -328,18 +330,18 @@
 }
 END_TEST
 
-#define BEAT                                                        \
+#define HEARTBEAT                                                   \
 	"{\"service\":\"a\",\"address\":\"10.0.0.1:80\",\"zone\":"  \
 	"\"z\",\"version\":\"v1\",\"slots\":4,\"state\":\"ready\"," \
 	"\"warmupLeftMs\":30,\"seq\":2,\"born\":99}"
 
-START_TEST(heartbeat_becomes_a_notice)
+START_TEST(parses_heartbeat_into_notice)
 {
 	dy_target_notice_t notice;
 	GError *error = NULL;
 
-	ck_assert(platform_heartbeat_parse("i-1", BEAT, strlen(BEAT), &notice,
-					   &error));
+	ck_assert(platform_heartbeat_parse("i-1", HEARTBEAT, strlen(HEARTBEAT),
+					   &notice, &error));
 	ck_assert_str_eq(notice.id, "i-1");
 	ck_assert_str_eq(notice.service, "a");
 	ck_assert_uint_eq(notice.address.port, 80);
@@ -352,10 +354,10 @@
 END_TEST
 
 /*
- * Another writer leaves a field out, or writes it as another type. Any of
- * these would name a target that is none.
+ * A faulty sender omits a field, or writes it with another type. If accepted,
+ * the notice would describe a target that does not exist.
  */
-START_TEST(heartbeat_of_another_writer_is_refused)
+START_TEST(refuses_heartbeat_with_missing_or_invalid_field)
 {
 	static const struct {
 		const char *from;
@@ -383,7 +385,7 @@
 	size_t i;
 
 	for (i = 0; i < G_N_ELEMENTS(changes); i++) {
-		parts = g_strsplit(BEAT, changes[i].from, 2);
+		parts = g_strsplit(HEARTBEAT, changes[i].from, 2);
 		text = g_strconcat(parts[0], changes[i].to, parts[1], NULL);
 		ck_assert(!platform_heartbeat_parse("i-1", text, strlen(text),
 						    &notice, &error));
@@ -392,18 +394,18 @@
 		g_free(text);
 		g_strfreev(parts);
 	}
-	for (i = 0; i < strlen(BEAT); i++) {
-		ck_assert(!platform_heartbeat_parse("i-1", BEAT, i, &notice,
-						    &error));
+	for (i = 0; i < strlen(HEARTBEAT); i++) {
+		ck_assert(!platform_heartbeat_parse("i-1", HEARTBEAT, i,
+						    &notice, &error));
 		g_clear_error(&error);
 	}
-	ck_assert(!platform_heartbeat_parse("", BEAT, strlen(BEAT), &notice,
-					    &error));
+	ck_assert(!platform_heartbeat_parse("", HEARTBEAT, strlen(HEARTBEAT),
+					    &notice, &error));
 	g_clear_error(&error);
 }
 END_TEST
 
-START_TEST(calls_are_told_by_method_and_path)
+START_TEST(classifies_calls_by_method_and_path)
 {
 	static const struct {
 		const char *method;
@@ -447,19 +449,19 @@
 int main(void)
 {
 	const TTest *const tests[] = {
-		packet_is_decoded_for_both_senders,
-		packet_of_a_wrong_length_is_refused,
-		mark_changes_only_what_the_sum_leaves_out,
-		request_id_is_found_in_data,
-		reset_goes_from_the_entry_to_the_caller,
-		configuration_becomes_rules,
-		rate_of_cold_targets_is_taken,
-		requests_may_be_repeated_only_if_the_route_says_so,
-		invalid_configuration_is_refused,
-		unreadable_configuration_is_refused,
-		heartbeat_becomes_a_notice,
-		heartbeat_of_another_writer_is_refused,
-		calls_are_told_by_method_and_path,
+		decodes_packet_of_caller_and_of_target,
+		refuses_packet_of_wrong_length,
+		set_tag_changes_only_bytes_outside_checksum,
+		finds_request_id_in_data,
+		writes_reset_from_entry_to_caller,
+		parses_configuration_into_rules,
+		parses_rate_limit_of_cold_targets,
+		marks_requests_repeatable_only_for_known_route_types,
+		refuses_invalid_configuration,
+		refuses_unreadable_configuration,
+		parses_heartbeat_into_notice,
+		refuses_heartbeat_with_missing_or_invalid_field,
+		classifies_calls_by_method_and_path,
 		NULL,
 	};
 
