--- a/src/process/http.c
+++ b/src/process/http.c
@@ -6,47 +6,46 @@
 
 #include "damaskyard/list.h"
 
-/* Bytes of a request's path at most; the longest names an instance. */
+/* Limit of a request's path; the longest paths name a target. */
 #define PATH_MAX_BYTES 512
 
-/* Connections that wait to be accepted; more are tried again by the kernel. */
-#define BACKLOG 128
+/* Connections waiting to be accepted; the kernel retries further ones. */
+#define LISTEN_BACKLOG 128
 
-/* Bytes that are read behind a request while it is handled. */
-#define WAITING_MAX_BYTES 65536
+/* Limit of bytes read after a request while it is handled. */
+#define PIPELINED_MAX_BYTES 65536
 
-/* Silent connections are looked for this often, in ms. */
-#define REVIEW_MS 1000
+#define IDLE_CHECK_INTERVAL_MS 1000
 
 typedef struct connection {
 	dy_list_t link;
 	uv_tcp_t tcp;
 	dy_http_server_t *server;
-	dy_http_exchange_t *exchange; /* the request that is being handled */
+	dy_http_exchange_t *exchange; /* being handled, or NULL */
 	http_parser parser;
 	GString *path;
 	GByteArray *body;
-	GByteArray *waiting; /* bytes behind the request that is handled */
-	uint64_t active_ms;
+	GByteArray *pipelined; /* bytes after the request being handled */
+	uint64_t last_active_ms;
 	int complete;
 	int too_large;
-	int keep;
-	int ended; /* its caller sends no more */
+	int keep_alive;
+	int input_ended; /* the caller closed its side */
 	int closing;
 } connection_t;
 
 struct dy_http_exchange {
-	connection_t *connection; /* NULL: the caller has gone */
+	connection_t *connection; /* NULL: closed */
 };
 
 struct dy_http_server {
 	dy_loop_t *loop;
 	dy_http_config_t config;
 	uv_tcp_t *listener;
-	uv_timer_t *review;
+	uv_timer_t *idle_timer;
 	dy_address_t address;
 	dy_list_t connections;
-	unsigned count;
+	unsigned connection_count;
 	uint64_t *requests;
 	uint64_t *malformed;
 	uint64_t *refused;
@@ -63,7 +62,7 @@
 
 	g_string_free(connection->path, TRUE);
 	g_byte_array_free(connection->body, TRUE);
-	g_byte_array_free(connection->waiting, TRUE);
+	g_byte_array_free(connection->pipelined, TRUE);
 	g_free(connection);
 }
 
@@ -75,7 +74,7 @@
 	if (connection->exchange)
 		connection->exchange->connection = NULL;
 	dy_list_remove(&connection->link);
-	connection->server->count--;
+	connection->server->connection_count--;
 	uv_close((uv_handle_t *)&connection->tcp, free_connection);
 }
 
@@ -86,7 +85,7 @@
 
 	g_free(response->bytes);
 	g_free(response);
-	if (status < 0 || !connection->keep)
+	if (status < 0 || !connection->keep_alive)
 		close_connection(connection);
 }
 
@@ -128,7 +127,7 @@
 	if (answer->location)
 		g_string_append_printf(out, "Location: %s\r\n",
 				       answer->location);
-	if (!connection->keep)
+	if (!connection->keep_alive)
 		g_string_append(out, "Connection: close\r\n");
 	g_string_append(out, "\r\n");
 	if (answer->body_len)
@@ -150,7 +149,7 @@
 	const dy_http_answer_t answer = { .status = status };
 
 	++*connection->server->malformed;
-	connection->keep = 0;
+	connection->keep_alive = 0;
 	uv_read_stop((uv_stream_t *)&connection->tcp);
 	send_answer(connection, &answer);
 }
@@ -177,13 +176,13 @@
 	return 0;
 }
 
-/* One request at a time: the parser stops behind it. */
+/* Pause the parser after each request, as one is handled at a time. */
 static int on_complete(http_parser *parser)
 {
 	connection_t *connection = parser->data;
 
 	connection->complete = 1;
-	connection->keep = http_should_keep_alive(parser);
+	connection->keep_alive = http_should_keep_alive(parser);
 	http_parser_pause(parser, 1);
 	return 0;
 }
@@ -194,7 +193,7 @@
 	.on_message_complete = on_complete,
 };
 
-static void hand_over(connection_t *connection)
+static void handle_request(connection_t *connection)
 {
 	dy_http_server_t *server = connection->server;
 	dy_http_request_t request;
@@ -214,16 +213,16 @@
 
 static void parse(connection_t *connection, const char *bytes, size_t len)
 {
-	size_t taken = http_parser_execute(&connection->parser,
-					   &parser_settings, bytes, len);
+	size_t parsed = http_parser_execute(&connection->parser,
+					    &parser_settings, bytes, len);
 	enum http_errno code = HTTP_PARSER_ERRNO(&connection->parser);
 
 	if (connection->complete && code == HPE_PAUSED) {
 		http_parser_pause(&connection->parser, 0);
-		g_byte_array_append(connection->waiting,
-				    (const guint8 *)bytes + taken,
-				    (guint)(len - taken));
-		hand_over(connection);
+		g_byte_array_append(connection->pipelined,
+				    (const guint8 *)bytes + parsed,
+				    (guint)(len - parsed));
+		handle_request(connection);
 	} else if (code != HPE_OK || connection->parser.upgrade) {
 		answer_malformed(connection, connection->too_large ? 413 : 400);
 	}
@@ -231,24 +230,23 @@
 
 static void on_alloc(uv_handle_t *handle, size_t suggested, uv_buf_t *buf)
 {
-	static char room[65536];
+	static char read_buf[65536];
 
 	(void)handle;
 	(void)suggested;
-	buf->base = room;
-	buf->len = sizeof(room);
+	buf->base = read_buf;
+	buf->len = sizeof(read_buf);
 }
 
-/* Reading goes on while a request is handled, to see whether its caller left.
- */
-static void read_behind(connection_t *connection, const char *bytes,
-			ssize_t len)
+/* Read on while a request is handled, to detect that its caller has closed. */
+static void read_pipelined(connection_t *connection, const char *bytes,
+			   ssize_t len)
 {
 	if (len > 0)
-		g_byte_array_append(connection->waiting, (const guint8 *)bytes,
-				    (guint)len);
-	connection->ended |= len < 0;
-	if (len < 0 || connection->waiting->len > WAITING_MAX_BYTES)
+		g_byte_array_append(connection->pipelined,
+				    (const guint8 *)bytes, (guint)len);
+	connection->input_ended |= len < 0;
+	if (len < 0 || connection->pipelined->len > PIPELINED_MAX_BYTES)
 		uv_read_stop((uv_stream_t *)&connection->tcp);
 }
 
@@ -257,30 +255,30 @@
 	connection_t *connection = stream->data;
 
 	if (connection->exchange) {
-		read_behind(connection, buf->base, len);
+		read_pipelined(connection, buf->base, len);
 		return;
 	}
 	if (len < 0) {
 		close_connection(connection);
 		return;
 	}
-	connection->active_ms = dy_loop_now_ms(connection->server->loop);
+	connection->last_active_ms = dy_loop_now_ms(connection->server->loop);
 	if (len)
 		parse(connection, buf->base, (size_t)len);
 }
 
-static void read_next(connection_t *connection)
+static void resume_reading(connection_t *connection)
 {
-	GByteArray *waiting = connection->waiting;
+	GByteArray *pipelined = connection->pipelined;
 
 	g_string_truncate(connection->path, 0);
 	g_byte_array_set_size(connection->body, 0);
 	uv_read_start((uv_stream_t *)&connection->tcp, on_alloc, on_read);
-	if (!waiting->len)
+	if (!pipelined->len)
 		return;
-	connection->waiting = g_byte_array_new();
-	parse(connection, (const char *)waiting->data, waiting->len);
-	g_byte_array_free(waiting, TRUE);
+	connection->pipelined = g_byte_array_new();
+	parse(connection, (const char *)pipelined->data, pipelined->len);
+	g_byte_array_free(pipelined, TRUE);
 }
 
 void dy_http_answer(dy_http_exchange_t *exchange,
@@ -292,17 +290,17 @@
 	if (!connection)
 		return;
 	connection->exchange = NULL;
-	connection->active_ms = dy_loop_now_ms(connection->server->loop);
-	if (connection->ended && !connection->waiting->len)
-		connection->keep = 0;
+	connection->last_active_ms = dy_loop_now_ms(connection->server->loop);
+	if (connection->input_ended && !connection->pipelined->len)
+		connection->keep_alive = 0;
 	send_answer(connection, answer);
-	if (connection->keep && !connection->closing)
-		read_next(connection);
+	if (connection->keep_alive && !connection->closing)
+		resume_reading(connection);
 }
 
 int dy_http_is_abandoned(const dy_http_exchange_t *exchange)
 {
-	return !exchange->connection || exchange->connection->ended;
+	return !exchange->connection || exchange->connection->input_ended;
 }
 
 void dy_http_answer_status(dy_http_exchange_t *exchange, int status)
@@ -325,16 +323,16 @@
 	connection->server = server;
 	connection->path = g_string_new(NULL);
 	connection->body = g_byte_array_new();
-	connection->waiting = g_byte_array_new();
-	connection->active_ms = dy_loop_now_ms(server->loop);
+	connection->pipelined = g_byte_array_new();
+	connection->last_active_ms = dy_loop_now_ms(server->loop);
 	http_parser_init(&connection->parser, HTTP_REQUEST);
 	connection->parser.data = connection;
 	uv_tcp_init(dy_loop_uv(server->loop), &connection->tcp);
 	connection->tcp.data = connection;
 	dy_list_append(&server->connections, &connection->link);
-	server->count++;
+	server->connection_count++;
 	if (uv_accept(stream, (uv_stream_t *)&connection->tcp) ||
-	    server->count > DY_HTTP_CONNECTIONS_MAX) {
+	    server->connection_count > DY_HTTP_CONNECTIONS_MAX) {
 		++*server->refused;
 		close_connection(connection);
 		return;
@@ -344,10 +342,10 @@
 }
 
 /*
- * Guards against connections that went silent without a reset: they would
- * hold a descriptor each for ever.
+ * Close connections whose peer has vanished without a reset; each would occupy
+ * a file descriptor forever.
  */
-static void on_review(uv_timer_t *timer)
+static void close_idle_connections(uv_timer_t *timer)
 {
 	dy_http_server_t *server = timer->data;
 	uint64_t now = dy_loop_now_ms(server->loop);
@@ -358,7 +356,7 @@
 	DY_LIST_EACH_SAFE(pos, tmp, &server->connections)
 	{
 		connection = DY_LIST_ITEM(pos, connection_t, link);
-		if (now - connection->active_ms > DY_HTTP_IDLE_MS)
+		if (now - connection->last_active_ms > DY_HTTP_IDLE_TIMEOUT_MS)
 			close_connection(connection);
 	}
 }
@@ -379,8 +377,8 @@
 	dy_address_write(&server->config.listen, &at);
 	code = uv_tcp_bind(server->listener, (struct sockaddr *)&at, 0);
 	if (!code)
-		code = uv_listen((uv_stream_t *)server->listener, BACKLOG,
-				 on_connection);
+		code = uv_listen((uv_stream_t *)server->listener,
+				 LISTEN_BACKLOG, on_connection);
 	if (!code)
 		code = uv_tcp_getsockname(server->listener,
 					  (struct sockaddr *)&at, &len);
@@ -404,10 +402,11 @@
 	server->malformed = dy_metrics_counter(metrics, "http_malformed");
 	server->refused = dy_metrics_counter(metrics, "http_refused");
 	server->listener = g_new0(uv_tcp_t, 1);
-	server->review = g_new0(uv_timer_t, 1);
-	uv_timer_init(dy_loop_uv(loop), server->review);
-	server->review->data = server;
-	uv_timer_start(server->review, on_review, REVIEW_MS, REVIEW_MS);
+	server->idle_timer = g_new0(uv_timer_t, 1);
+	uv_timer_init(dy_loop_uv(loop), server->idle_timer);
+	server->idle_timer->data = server;
+	uv_timer_start(server->idle_timer, close_idle_connections,
+		       IDLE_CHECK_INTERVAL_MS, IDLE_CHECK_INTERVAL_MS);
 	code = listen_at(server);
 	if (!code)
 		return server;
@@ -429,7 +428,7 @@
 	DY_LIST_EACH_SAFE(pos, tmp, &server->connections)
 	close_connection(DY_LIST_ITEM(pos, connection_t, link));
 	uv_close((uv_handle_t *)server->listener, free_handle);
-	uv_close((uv_handle_t *)server->review, free_handle);
+	uv_close((uv_handle_t *)server->idle_timer, free_handle);
 	g_free(server);
 }
 
--- a/src/process/port_check.c
+++ b/src/process/port_check.c
@@ -2,11 +2,11 @@
 
 #include "damaskyard/log.h"
 
-/* One connection; it outlives its check until the loop has closed it. */
+/* One connection. It lives until the loop has closed it, after its check. */
 typedef struct attempt {
 	uv_tcp_t tcp;
 	uv_connect_t connect;
-	dy_port_check_t *check; /* NULL: its result is not wanted any more */
+	dy_port_check_t *check; /* NULL: finished or cancelled */
 } attempt_t;
 
 struct dy_port_check {
@@ -14,7 +14,7 @@
 	dy_address_t address;
 	dy_port_check_cb_t *done;
 	void *context;
-	attempt_t *attempt; /* the one under way */
+	attempt_t *attempt; /* in progress, or NULL */
 	uv_timer_t timer;
 };
 
@@ -34,7 +34,7 @@
 	check->done(check->context, state);
 }
 
-static dy_port_state_t state_of(int status)
+static dy_port_state_t port_state_from_status(int status)
 {
 	switch (status) {
 	case 0:
@@ -51,7 +51,7 @@
 	attempt_t *attempt = connect->data;
 
 	if (attempt->check)
-		finish(attempt->check, state_of(status));
+		finish(attempt->check, port_state_from_status(status));
 }
 
 static void on_timeout(uv_timer_t *timer)
@@ -105,7 +105,7 @@
 	attempt->connect.data = attempt;
 	attempt->check = check;
 	check->attempt = attempt;
-	uv_timer_start(&check->timer, on_timeout, DY_PORT_CHECK_MS, 0);
+	uv_timer_start(&check->timer, on_timeout, DY_PORT_CHECK_TIMEOUT_MS, 0);
 	dy_address_write(&check->address, &to);
 	error = uv_tcp_connect(&attempt->connect, &attempt->tcp,
 			       (struct sockaddr *)&to, on_connected);
--- a/tests/test_http.c
+++ b/tests/test_http.c
@@ -10,27 +10,27 @@
 
 #define BODY_MAX 64
 
-/* A server on a loop, and what it was asked. */
+/* A server on a loop, and the requests that it received. */
 static struct {
 	dy_loop_t *loop;
 	dy_metrics_t *metrics;
 	dy_http_server_t *server;
-	GString *asked; /* "METHOD PATH BODY;" of each request */
-	dy_http_exchange_t *held;
-	int hold; /* answers wait */
+	GString *requests; /* "METHOD PATH BODY;" of each request */
+	dy_http_exchange_t *pending;
+	int defer_answers; /* keep requests in pending */
 	unsigned ticks;
-} world;
+} fixture;
 
 static void on_request(void *context, dy_http_exchange_t *exchange,
 		       const dy_http_request_t *request)
 {
 	(void)context;
-	g_string_append_printf(world.asked, "%s %s %.*s;", request->method,
+	g_string_append_printf(fixture.requests, "%s %s %.*s;", request->method,
 			       request->path, (int)request->body_len,
 			       request->body_len ? (const char *)request->body
 						 : "");
-	if (world.hold)
-		world.held = exchange;
+	if (fixture.defer_answers)
+		fixture.pending = exchange;
 	else
 		dy_http_answer_status(exchange, 200);
 }
@@ -38,70 +38,70 @@
 static void on_tick(void *context)
 {
 	(void)context;
-	if (++world.ticks >= 4)
-		dy_loop_end(world.loop);
+	if (++fixture.ticks >= 4)
+		dy_loop_end(fixture.loop);
 }
 
-/* Let the loop run for some 20 ms: enough for what is in the sockets. */
-static void settle(void)
+/* Run the loop for some 20 ms, enough to handle what is in the sockets. */
+static void run_loop(void)
 {
-	world.ticks = 0;
-	dy_loop_run(world.loop);
+	fixture.ticks = 0;
+	dy_loop_run(fixture.loop);
 }
 
-static void begin(void)
+static void setup(void)
 {
 	dy_http_config_t config = { 0 };
 	GError *error = NULL;
 
-	memset(&world, 0, sizeof(world));
-	world.asked = g_string_new(NULL);
-	world.metrics = dy_metrics_create();
-	world.loop = dy_loop_create(world.metrics);
-	dy_loop_every(world.loop, 5, on_tick, NULL);
+	memset(&fixture, 0, sizeof(fixture));
+	fixture.requests = g_string_new(NULL);
+	fixture.metrics = dy_metrics_create();
+	fixture.loop = dy_loop_create(fixture.metrics);
+	dy_loop_every(fixture.loop, 5, on_tick, NULL);
 	dy_address_parse("127.0.0.1:0", &config.listen);
 	config.body_max = BODY_MAX;
 	config.handle = on_request;
-	world.server = dy_http_server_create(world.loop, world.metrics, &config,
-					     &error);
-	ck_assert_ptr_nonnull(world.server);
+	fixture.server = dy_http_server_create(fixture.loop, fixture.metrics,
+					       &config, &error);
+	ck_assert_ptr_nonnull(fixture.server);
 }
 
-static void end(void)
+static void teardown(void)
 {
-	dy_http_server_destroy(world.server);
-	dy_loop_destroy(world.loop);
-	dy_metrics_destroy(world.metrics);
-	g_string_free(world.asked, TRUE);
+	dy_http_server_destroy(fixture.server);
+	dy_loop_destroy(fixture.loop);
+	dy_metrics_destroy(fixture.metrics);
+	g_string_free(fixture.requests, TRUE);
 }
 
-static int dial(void)
+static int connect_to_server(void)
 {
 	struct sockaddr_storage to;
-	int handle = socket(AF_INET, SOCK_STREAM, 0);
+	int fd = socket(AF_INET, SOCK_STREAM, 0);
 
-	dy_address_write(dy_http_server_address(world.server), &to);
-	ck_assert(!connect(handle, (struct sockaddr *)&to,
+	dy_address_write(dy_http_server_address(fixture.server), &to);
+	ck_assert(!connect(fd, (struct sockaddr *)&to,
 			   sizeof(struct sockaddr_in)));
-	return handle;
+	return fd;
 }
 
-static void say(int handle, const char *text)
+static void send_text(int fd, const char *text)
 {
-	ck_assert_int_eq(send(handle, text, strlen(text), MSG_NOSIGNAL),
+	ck_assert_int_eq(send(fd, text, strlen(text), MSG_NOSIGNAL),
 			 (ssize_t)strlen(text));
-	settle();
+	run_loop();
 }
 
-/* What has been answered by now; "closed" stands behind it at the end. */
-static const char *hear(int handle)
+/* Returns all bytes received by now, plus "closed" if the server closed. */
+static const char *received_text(int fd)
 {
 	static char text[4096];
 	size_t used = 0;
 	ssize_t n;
 
 	do {
-		n = recv(handle, text + used, sizeof(text) - used - 8,
+		n = recv(fd, text + used, sizeof(text) - used - 8,
 			 MSG_DONTWAIT);
 		if (n > 0)
 			used += (size_t)n;
@@ -123,131 +123,134 @@
 	return n;
 }
 
-START_TEST(requests_of_one_connection_are_answered_in_turn)
+START_TEST(answers_pipelined_requests_in_order)
 {
-	int handle;
-
-	begin();
-	handle = dial();
-	say(handle, "PUT /a HTTP/1.1\r\nContent-Length: 2\r\n\r\nhi"
-		    "GET /b?c HTTP/1.1\r\n\r\n");
-	ck_assert_str_eq(world.asked->str, "PUT /a hi;GET /b?c ;");
-	ck_assert_uint_eq(count(hear(handle), "HTTP/1.1 200 OK"), 2);
-	say(handle, "GET /d HTTP/1.1\r\nConnection: close\r\n\r\n");
-	ck_assert_ptr_nonnull(strstr(hear(handle), "closed"));
-	close(handle);
-	end();
+	int fd;
+
+	setup();
+	fd = connect_to_server();
+	send_text(fd, "PUT /a HTTP/1.1\r\nContent-Length: 2\r\n\r\nhi"
+		      "GET /b?c HTTP/1.1\r\n\r\n");
+	ck_assert_str_eq(fixture.requests->str, "PUT /a hi;GET /b?c ;");
+	ck_assert_uint_eq(count(received_text(fd), "HTTP/1.1 200 OK"), 2);
+	send_text(fd, "GET /d HTTP/1.1\r\nConnection: close\r\n\r\n");
+	ck_assert_ptr_nonnull(strstr(received_text(fd), "closed"));
+	close(fd);
+	teardown();
 }
 END_TEST
 
-/* A slow caller's request comes byte by byte. */
-START_TEST(request_in_pieces_is_put_together)
+/* A slow caller sends its request byte by byte. */
+START_TEST(reassembles_request_from_fragments)
 {
 	static const char text[] =
 		"PUT /a HTTP/1.1\r\nContent-Length: 2\r\n\r\nhi";
 	char piece[2] = "";
-	int handle;
+	int fd;
 	size_t i;
 
-	begin();
-	handle = dial();
+	setup();
+	fd = connect_to_server();
 	for (i = 0; text[i]; i++) {
 		piece[0] = text[i];
-		say(handle, piece);
+		send_text(fd, piece);
 	}
-	ck_assert_str_eq(world.asked->str, "PUT /a hi;");
-	close(handle);
-	end();
+	ck_assert_str_eq(fixture.requests->str, "PUT /a hi;");
+	close(fd);
+	teardown();
 }
 END_TEST
 
 /*
- * An operator's call waits for the log, and the operator gives up and goes.
- * The answer must find that out by itself.
+ * An operator times out and closes while its call waits for the replicated log.
+ * The late answer must not use the closed connection.
  */
-START_TEST(answer_after_the_caller_left_is_dropped)
+START_TEST(drops_answer_after_caller_closed)
 {
-	int handle;
-
-	begin();
-	world.hold = 1;
-	handle = dial();
-	say(handle, "GET /a HTTP/1.1\r\n\r\nGET /b HTTP/1.1\r\n\r\n");
-	ck_assert_str_eq(world.asked->str, "GET /a ;");
-	close(handle);
-	settle();
-	dy_http_answer_status(world.held, 200);
-	settle();
-	/* What it had sent before it went is handled, to nobody. */
-	ck_assert_str_eq(world.asked->str, "GET /a ;GET /b ;");
-	dy_http_answer_status(world.held, 200);
-	settle();
-	end();
+	int fd;
+
+	setup();
+	fixture.defer_answers = 1;
+	fd = connect_to_server();
+	send_text(fd, "GET /a HTTP/1.1\r\n\r\nGET /b HTTP/1.1\r\n\r\n");
+	ck_assert_str_eq(fixture.requests->str, "GET /a ;");
+	close(fd);
+	run_loop();
+	dy_http_answer_status(fixture.pending, 200);
+	run_loop();
+	/* A request that was sent before the close is still handled. */
+	ck_assert_str_eq(fixture.requests->str, "GET /a ;GET /b ;");
+	dy_http_answer_status(fixture.pending, 200);
+	run_loop();
+	teardown();
 }
 END_TEST
 
-/* An order whose sender gave it up, and sent it elsewhere, is made late. */
-START_TEST(exchange_tells_that_its_caller_left)
+/*
+ * Without the check, a change is applied late although its caller has timed out
+ * and sent it elsewhere.
+ */
+START_TEST(reports_exchange_as_abandoned_after_caller_closed)
 {
-	int handle;
-
-	begin();
-	world.hold = 1;
-	handle = dial();
-	say(handle, "POST /a HTTP/1.1\r\nContent-Length: 0\r\n\r\n");
-	ck_assert(!dy_http_is_abandoned(world.held));
-	close(handle);
-	settle();
-	ck_assert(dy_http_is_abandoned(world.held));
-	dy_http_answer_status(world.held, 503);
-	settle();
-	end();
+	int fd;
+
+	setup();
+	fixture.defer_answers = 1;
+	fd = connect_to_server();
+	send_text(fd, "POST /a HTTP/1.1\r\nContent-Length: 0\r\n\r\n");
+	ck_assert(!dy_http_is_abandoned(fixture.pending));
+	close(fd);
+	run_loop();
+	ck_assert(dy_http_is_abandoned(fixture.pending));
+	dy_http_answer_status(fixture.pending, 503);
+	run_loop();
+	teardown();
 }
 END_TEST
 
-/* The process stops while a call waits. */
-START_TEST(answer_after_the_server_closed_is_dropped)
+/* The process stops while a request is unanswered. */
+START_TEST(drops_answer_after_server_is_destroyed)
 {
-	dy_http_exchange_t *held;
-	int handle;
-
-	begin();
-	world.hold = 1;
-	handle = dial();
-	say(handle, "GET /a HTTP/1.1\r\n\r\n");
-	held = world.held;
-	dy_http_server_destroy(world.server);
-	world.server = NULL;
-	dy_http_answer_status(held, 200);
-	close(handle);
-	end();
+	dy_http_exchange_t *pending;
+	int fd;
+
+	setup();
+	fixture.defer_answers = 1;
+	fd = connect_to_server();
+	send_text(fd, "GET /a HTTP/1.1\r\n\r\n");
+	pending = fixture.pending;
+	dy_http_server_destroy(fixture.server);
+	fixture.server = NULL;
+	dy_http_answer_status(pending, 200);
+	close(fd);
+	teardown();
 }
 END_TEST
 
-START_TEST(redirect_names_its_location)
+START_TEST(sends_location_of_redirect)
 {
 	const dy_http_answer_t answer = { .status = 307,
 					  .location = "http://1.2.3.4:5/a" };
-	const char *heard;
-	int handle;
-
-	begin();
-	world.hold = 1;
-	handle = dial();
-	say(handle, "GET /a HTTP/1.1\r\n\r\n");
-	dy_http_answer(world.held, &answer);
-	settle();
-	heard = hear(handle);
-	ck_assert_ptr_nonnull(strstr(heard, "307 Temporary Redirect"));
+	const char *received;
+	int fd;
+
+	setup();
+	fixture.defer_answers = 1;
+	fd = connect_to_server();
+	send_text(fd, "GET /a HTTP/1.1\r\n\r\n");
+	dy_http_answer(fixture.pending, &answer);
+	run_loop();
+	received = received_text(fd);
+	ck_assert_ptr_nonnull(strstr(received, "307 Temporary Redirect"));
 	ck_assert_ptr_nonnull(
-		strstr(heard, "\r\nLocation: http://1.2.3.4:5/a\r\n"));
-	close(handle);
-	end();
+		strstr(received, "\r\nLocation: http://1.2.3.4:5/a\r\n"));
+	close(fd);
+	teardown();
 }
 END_TEST
 
-/* Bytes that are no request get 400 and disturb no other connection. */
-START_TEST(malformed_requests_are_refused)
+/* Malformed bytes get status 400 and do not affect other connections. */
+START_TEST(refuses_malformed_requests)
 {
 	static const char *const texts[] = {
 		"hello\r\n\r\n",
@@ -257,121 +260,123 @@
 		"\x16\x03\x01\x02",
 		"PUT / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
 	};
-	int other;
-	int handle;
+	int other_fd;
+	int fd;
 	size_t i;
 
-	begin();
-	other = dial();
+	setup();
+	other_fd = connect_to_server();
 	for (i = 0; i < G_N_ELEMENTS(texts); i++) {
-		handle = dial();
-		say(handle, texts[i]);
-		ck_assert_ptr_nonnull(strstr(hear(handle), "400 Bad Request"));
-		close(handle);
+		fd = connect_to_server();
+		send_text(fd, texts[i]);
+		ck_assert_ptr_nonnull(
+			strstr(received_text(fd), "400 Bad Request"));
+		close(fd);
 	}
-	ck_assert_str_eq(world.asked->str, "");
-	ck_assert_uint_eq(dy_metrics_value(world.metrics, "http_malformed"),
+	ck_assert_str_eq(fixture.requests->str, "");
+	ck_assert_uint_eq(dy_metrics_value(fixture.metrics, "http_malformed"),
 			  G_N_ELEMENTS(texts));
-	say(other, "GET /ok HTTP/1.1\r\n\r\n");
-	ck_assert_str_eq(world.asked->str, "GET /ok ;");
-	close(other);
-	end();
+	send_text(other_fd, "GET /ok HTTP/1.1\r\n\r\n");
+	ck_assert_str_eq(fixture.requests->str, "GET /ok ;");
+	close(other_fd);
+	teardown();
 }
 END_TEST
 
-START_TEST(body_over_the_limit_is_refused)
+START_TEST(refuses_body_over_limit)
 {
 	char body[BODY_MAX + 2];
 	char *text;
-	int handle;
+	int fd;
 
-	begin();
+	setup();
 	memset(body, 'x', sizeof(body));
 	body[BODY_MAX + 1] = '\0';
-	handle = dial();
+	fd = connect_to_server();
 	text = g_strdup_printf("PUT / HTTP/1.1\r\nContent-Length: %d\r\n\r\n%s",
 			       BODY_MAX + 1, body);
-	say(handle, text);
-	ck_assert_ptr_nonnull(strstr(hear(handle), "413 Payload Too Large"));
-	ck_assert_str_eq(world.asked->str, "");
-	close(handle);
+	send_text(fd, text);
+	ck_assert_ptr_nonnull(
+		strstr(received_text(fd), "413 Payload Too Large"));
+	ck_assert_str_eq(fixture.requests->str, "");
+	close(fd);
 	g_free(text);
-	end();
+	teardown();
 }
 END_TEST
 
-/* A path that never ends would fill the memory. */
-START_TEST(path_over_the_limit_is_refused)
+/* An endless path would exhaust the memory. */
+START_TEST(refuses_path_over_limit)
 {
 	GString *text = g_string_new("GET /");
-	int handle;
+	int fd;
 	int i;
 
-	begin();
+	setup();
 	for (i = 0; i < 2000; i++)
 		g_string_append_c(text, 'a');
 	g_string_append(text, " HTTP/1.1\r\n\r\n");
-	handle = dial();
-	say(handle, text->str);
-	ck_assert_ptr_nonnull(strstr(hear(handle), "400 Bad Request"));
-	close(handle);
+	fd = connect_to_server();
+	send_text(fd, text->str);
+	ck_assert_ptr_nonnull(strstr(received_text(fd), "400 Bad Request"));
+	close(fd);
 	g_string_free(text, TRUE);
-	end();
+	teardown();
 }
 END_TEST
 
-/* A request that was cut is not handled, and the connection is let go. */
-START_TEST(cut_request_is_not_handled)
+/* A caller closes in the middle of a request body. */
+START_TEST(ignores_truncated_request)
 {
-	int handle;
-
-	begin();
-	handle = dial();
-	say(handle, "PUT / HTTP/1.1\r\nContent-Length: 10\r\n\r\nhalf");
-	close(handle);
-	settle();
-	ck_assert_str_eq(world.asked->str, "");
-	end();
+	int fd;
+
+	setup();
+	fd = connect_to_server();
+	send_text(fd, "PUT / HTTP/1.1\r\nContent-Length: 10\r\n\r\nhalf");
+	close(fd);
+	run_loop();
+	ck_assert_str_eq(fixture.requests->str, "");
+	teardown();
 }
 END_TEST
 
-/* Somebody opens connections without end. */
-START_TEST(connections_are_bounded)
+/* A caller keeps opening connections. */
+START_TEST(refuses_connections_over_limit)
 {
-	int handles[DY_HTTP_CONNECTIONS_MAX + 4];
+	int fds[DY_HTTP_CONNECTIONS_MAX + 4];
 	int i;
 
-	begin();
-	for (i = 0; i < (int)G_N_ELEMENTS(handles); i++) {
-		handles[i] = dial();
+	setup();
+	for (i = 0; i < (int)G_N_ELEMENTS(fds); i++) {
+		fds[i] = connect_to_server();
 		if (i % 64 == 0)
-			settle();
+			run_loop();
 	}
-	settle();
-	settle();
-	ck_assert_uint_eq(dy_metrics_value(world.metrics, "http_refused"), 4);
+	run_loop();
+	run_loop();
+	ck_assert_uint_eq(dy_metrics_value(fixture.metrics, "http_refused"), 4);
 	ck_assert_ptr_nonnull(
-		strstr(hear(handles[DY_HTTP_CONNECTIONS_MAX]), "closed"));
-	for (i = 0; i < (int)G_N_ELEMENTS(handles); i++)
-		close(handles[i]);
-	end();
+		strstr(received_text(fds[DY_HTTP_CONNECTIONS_MAX]), "closed"));
+	for (i = 0; i < (int)G_N_ELEMENTS(fds); i++)
+		close(fds[i]);
+	teardown();
 }
 END_TEST
 
 int main(void)
 {
 	const TTest *const tests[] = {
-		requests_of_one_connection_are_answered_in_turn,
-		request_in_pieces_is_put_together,
-		answer_after_the_caller_left_is_dropped,
-		exchange_tells_that_its_caller_left,
-		answer_after_the_server_closed_is_dropped,
-		redirect_names_its_location,
-		malformed_requests_are_refused,
-		body_over_the_limit_is_refused,
-		path_over_the_limit_is_refused,
-		cut_request_is_not_handled,
-		connections_are_bounded,
+		answers_pipelined_requests_in_order,
+		reassembles_request_from_fragments,
+		drops_answer_after_caller_closed,
+		reports_exchange_as_abandoned_after_caller_closed,
+		drops_answer_after_server_is_destroyed,
+		sends_location_of_redirect,
+		refuses_malformed_requests,
+		refuses_body_over_limit,
+		refuses_path_over_limit,
+		ignores_truncated_request,
+		refuses_connections_over_limit,
 		NULL,
 	};
 
--- a/tests/test_port_check.c
+++ b/tests/test_port_check.c
@@ -4,45 +4,45 @@
 
 #include "fake_suite.h"
 
-/* Checks of one port, one after the other. */
-typedef struct fake {
+/* Successive checks of one port. */
+typedef struct fixture {
 	dy_metrics_t *metrics;
 	dy_loop_t *loop;
 	dy_port_check_t *check;
 	unsigned results;
-	unsigned wanted; /* the loop ends with this one */
+	unsigned expected_results; /* the loop ends after as many */
 	dy_port_state_t state;
-} fake_t;
+} fixture_t;
 
 static void on_checked(void *context, dy_port_state_t state)
 {
-	fake_t *fake = context;
+	fixture_t *fixture = context;
 
-	fake->state = state;
-	if (++fake->results == fake->wanted)
-		dy_loop_end(fake->loop);
+	fixture->state = state;
+	if (++fixture->results == fixture->expected_results)
+		dy_loop_end(fixture->loop);
 }
 
-static void setup(fake_t *fake, const dy_address_t *address)
+static void setup(fixture_t *fixture, const dy_address_t *address)
 {
-	memset(fake, 0, sizeof(*fake));
-	fake->metrics = dy_metrics_create();
-	fake->loop = dy_loop_create(fake->metrics);
-	fake->check =
-		dy_port_check_create(fake->loop, address, on_checked, fake);
+	memset(fixture, 0, sizeof(*fixture));
+	fixture->metrics = dy_metrics_create();
+	fixture->loop = dy_loop_create(fixture->metrics);
+	fixture->check = dy_port_check_create(fixture->loop, address,
+					      on_checked, fixture);
 }
 
-static void teardown(fake_t *fake)
+static void teardown(fixture_t *fixture)
 {
-	dy_port_check_destroy(fake->check);
-	dy_loop_destroy(fake->loop);
-	dy_metrics_destroy(fake->metrics);
+	dy_port_check_destroy(fixture->check);
+	dy_loop_destroy(fixture->loop);
+	dy_metrics_destroy(fixture->metrics);
 }
 
-static void run_until(fake_t *fake, unsigned wanted)
+static void run_until(fixture_t *fixture, unsigned expected_results)
 {
-	fake->wanted = wanted;
-	dy_loop_run(fake->loop);
+	fixture->expected_results = expected_results;
+	dy_loop_run(fixture->loop);
 }
 
 static void on_connection(uv_stream_t *stream, int status)
@@ -51,7 +51,7 @@
 	ck_assert_int_eq(status, 0);
 }
 
-/* A port of the loopback address, kept by a listener or free again. */
+/* Listen at a free port of the loopback address, and return the address. */
 static dy_address_t open_port(uv_loop_t *loop, uv_tcp_t *listener)
 {
 	struct sockaddr_storage name;
@@ -75,75 +75,76 @@
 	uv_run(loop, UV_RUN_DEFAULT);
 }
 
-/* Checks of a port that a listener has open. */
-static void open_and_setup(fake_t *fake, uv_loop_t *loop, uv_tcp_t *listener)
+/* Set up checks of a port with a listener. */
+static void setup_with_listener(fixture_t *fixture, uv_loop_t *loop,
+				uv_tcp_t *listener)
 {
 	dy_address_t address;
 
 	uv_loop_init(loop);
 	address = open_port(loop, listener);
-	setup(fake, &address);
+	setup(fixture, &address);
 }
 
-/* A target that listens is there, whether or not it takes the connection. */
-START_TEST(listener_is_there)
+/* The kernel accepts the connection even if the target never does. */
+START_TEST(reports_listening_port_once)
 {
 	uv_loop_t loop;
 	uv_tcp_t listener;
-	fake_t fake;
-
-	open_and_setup(&fake, &loop, &listener);
-	dy_port_check_begin(fake.check);
-	dy_port_check_begin(fake.check);
-	run_until(&fake, 1);
-	ck_assert_int_eq(fake.state, DY_PORT_LISTENING);
-	ck_assert_uint_eq(fake.results, 1);
-	teardown(&fake);
+	fixture_t fixture;
+
+	setup_with_listener(&fixture, &loop, &listener);
+	dy_port_check_begin(fixture.check);
+	dy_port_check_begin(fixture.check);
+	run_until(&fixture, 1);
+	ck_assert_int_eq(fixture.state, DY_PORT_LISTENING);
+	ck_assert_uint_eq(fixture.results, 1);
+	teardown(&fixture);
 	close_port(&loop, &listener);
 	uv_loop_close(&loop);
 }
 END_TEST
 
-/* The target's process is gone: its VM's kernel refuses the connection. */
-START_TEST(port_without_a_listener_is_refused)
+/* The target's process has ended, so the kernel refuses the connection. */
+START_TEST(reports_refused_if_no_process_listens)
 {
 	uv_loop_t loop;
 	uv_tcp_t listener;
-	fake_t fake;
+	fixture_t fixture;
 
-	open_and_setup(&fake, &loop, &listener);
+	setup_with_listener(&fixture, &loop, &listener);
 	close_port(&loop, &listener);
 	uv_loop_close(&loop);
-	dy_port_check_begin(fake.check);
-	run_until(&fake, 1);
-	ck_assert_int_eq(fake.state, DY_PORT_REFUSED);
-	dy_port_check_begin(fake.check);
-	run_until(&fake, 2);
-	ck_assert_int_eq(fake.state, DY_PORT_REFUSED);
-	teardown(&fake);
+	dy_port_check_begin(fixture.check);
+	run_until(&fixture, 1);
+	ck_assert_int_eq(fixture.state, DY_PORT_REFUSED);
+	dy_port_check_begin(fixture.check);
+	run_until(&fixture, 2);
+	ck_assert_int_eq(fixture.state, DY_PORT_REFUSED);
+	teardown(&fixture);
 }
 END_TEST
 
-/* The agent stops while a check is under way. */
-START_TEST(check_under_way_ends_with_its_owner)
+/* The agent stops while a check is in progress. */
+START_TEST(destroy_cancels_check_in_progress)
 {
 	dy_address_t address;
-	fake_t fake;
+	fixture_t fixture;
 
 	dy_address_parse("127.0.0.1:9", &address);
-	setup(&fake, &address);
-	dy_port_check_begin(fake.check);
-	teardown(&fake);
-	ck_assert_uint_eq(fake.results, 0);
+	setup(&fixture, &address);
+	dy_port_check_begin(fixture.check);
+	teardown(&fixture);
+	ck_assert_uint_eq(fixture.results, 0);
 }
 END_TEST
 
 int main(void)
 {
 	const TTest *const tests[] = {
-		listener_is_there,
-		port_without_a_listener_is_refused,
-		check_under_way_ends_with_its_owner,
+		reports_listening_port_once,
+		reports_refused_if_no_process_listens,
+		destroy_cancels_check_in_progress,
 		NULL,
 	};
 
