--- a/include/damaskyard/contact.h
+++ b/include/damaskyard/isolation.h
@@ -1,5 +1,5 @@
-#ifndef DAMASKYARD_CONTACT_H
-#define DAMASKYARD_CONTACT_H
+#ifndef DAMASKYARD_ISOLATION_H
+#define DAMASKYARD_ISOLATION_H
 
 /*
  * Whether this process is cut off from all others, told by what it hears. No
--- a/src/process/flow/cmd_flow_balancer.c
+++ b/src/process/flow/cmd_flow_balancer.c
@@ -5,10 +5,10 @@
 #include <string.h>
 
 #include "command.h"
-#include "damaskyard/contact.h"
 #include "damaskyard/document_pack.h"
 #include "damaskyard/flow_router.h"
 #include "damaskyard/http.h"
+#include "damaskyard/isolation.h"
 #include "damaskyard/log.h"
 #include "flow_member.h"
 #include "platform/calls.h"
--- a/src/process/contact.c
+++ b/src/process/isolation.c
@@ -1,4 +1,4 @@
-#include "damaskyard/contact.h"
+#include "damaskyard/isolation.h"
 
 #include <string.h>
 
--- a/tests/test_contact.c
+++ b/tests/test_isolation.c
@@ -1,4 +1,4 @@
-#include "damaskyard/contact.h"
+#include "damaskyard/isolation.h"
 
 #include <glib.h>
 
@@ -146,5 +146,5 @@
 		NULL,
 	};
 
-	return fake_suite_run("contact", tests);
+	return fake_suite_run("isolation", tests);
 }
