--- a/include/damaskyard/isolation.h
+++ b/include/damaskyard/isolation.h
@@ -2,63 +2,67 @@
 #define DAMASKYARD_ISOLATION_H
 
 /*
- * Whether this process is cut off from all others, told by what it hears. No
- * network.
+ * Detects that this process is cut off from all other processes, from the
+ * messages that it receives. Uses no network and no clock.
  *
- * Load pattern: the VM of a balancer is cut off from agents and controls, while
- * the fabric reaches it and goes on handing it packets.
- * What happens without it: control's confirmation has to grow old first, which
- * takes seconds, as controls may be away while agents go on serving. All that
- * the fabric hands over until then is lost; callers wait until they give up.
- * What is done: an agent that is sent packets reports some times a second, so
- * the messages of the last second tell how many should have come in a silence.
- * Once so many are missing that loss does not explain it, the process is cut
- * off, until it hears anything again.
+ * Load pattern: the VM of a balancer loses its network to agents and controls,
+ * while the fabric still reaches it and keeps sending it packets.
+ * What happens without it: the balancer stays ready until the confirmation of
+ * the controls expires. That takes seconds, because controls may be away while
+ * agents go on serving. All packets until then are lost, and callers wait
+ * until they time out.
+ * What is done: an agent that receives packets reports several times a second,
+ * so the rate of the last second gives the number of messages that a silence
+ * should have contained. Once more are missing than packet loss explains, the
+ * process is cut off, until it receives a message again.
  *
- * Silence is counted in ticks, not by the clock: a process that stood still
- * finds one tick gone by when it goes on, and its messages still to be read.
+ * Silence is counted in ticks, not by the clock. A process that was suspended
+ * counts one tick when it resumes, with its queued messages still unread.
  */
 
-/* Between two ticks, in ms. */
-#define DY_CONTACT_TICK_MS 100
+/* Interval of dy_isolation_tick(), in ms. */
+#define DY_ISOLATION_TICK_MS 100
 
-/* Ticks from which the pace of messages is taken: five reports of an agent. */
-#define DY_CONTACT_TICKS 10
+/* Window of the message rate, in ticks: five reports of one agent. */
+#define DY_ISOLATION_WINDOW_TICKS 10
 
 /*
- * A silence counts from so many ticks on: agents whose reports happen to fall
- * together speak each second tick.
+ * Shorter silences are ignored, in ticks. Agents whose reports happen to
+ * coincide are all silent in every second tick.
  */
-#define DY_CONTACT_QUIET_TICKS 3
+#define DY_ISOLATION_MIN_SILENT_TICKS 3
 
 /*
- * Messages that must be missing. A link that loses half of all packets loses
- * twelve in a row once in 4,096 times.
+ * Missing messages from which the process is cut off. A link that loses half
+ * of all packets loses twelve in a row once in 4,096 times.
  */
-#define DY_CONTACT_MISSING 12
+#define DY_ISOLATION_MIN_MISSING 12
 
-typedef struct dy_contact {
-	unsigned heard[DY_CONTACT_TICKS]; /* messages in each of the last */
-	unsigned at;			  /* the tick that is filled */
-	unsigned pace;			  /* their sum, at the last message */
-	unsigned quiet_ticks;		  /* since the last message */
-	unsigned asked_ticks;		  /* since the first packet after it */
-	int asked;
+/* State of the detector. The fields are private to isolation.c. */
+typedef struct dy_isolation {
+	/* Messages of each tick in the window: a ring. */
+	unsigned received[DY_ISOLATION_WINDOW_TICKS];
+	unsigned tick_index;	/* of the current tick in the ring */
+	unsigned rate;		/* messages per window before the silence */
+	unsigned silent_ticks;	/* since the last message */
+	unsigned waiting_ticks; /* since the first packet after that message */
+	int waiting;		/* a packet was sent after the last message */
 	int cut_off;
-} dy_contact_t;
+} dy_isolation_t;
 
-void dy_contact_init(dy_contact_t *contact);
+/* Start without any message: not cut off. */
+void dy_isolation_init(dy_isolation_t *isolation);
 
-/* A message came from an agent or a control. */
-void dy_contact_note_heard(dy_contact_t *contact);
+/* Record a message that was received from an agent or a control. */
+void dy_isolation_record_received(dy_isolation_t *isolation);
 
-/* A packet was sent to an agent, which makes it report. */
-void dy_contact_note_asked(dy_contact_t *contact);
+/* Record a packet that was sent to an agent; the agent reports in return. */
+void dy_isolation_record_sent(dy_isolation_t *isolation);
 
-/* Call it each DY_CONTACT_TICK_MS. */
-void dy_contact_tick(dy_contact_t *contact);
+/* End the current tick. Call it every DY_ISOLATION_TICK_MS. */
+void dy_isolation_tick(dy_isolation_t *isolation);
 
-/* Whether nobody is heard who should be. */
-int dy_contact_is_cut_off(const dy_contact_t *contact);
+/* Returns 1 if too many expected messages are missing, 0 otherwise. */
+int dy_isolation_is_cut_off(const dy_isolation_t *isolation);
 
 #endif
--- a/src/process/flow/agent_ledger.c
+++ b/src/process/flow/agent_ledger.c
@@ -7,42 +7,43 @@
 #include "damaskyard/log.h"
 
 /*
- * Between two lists, in ms, and for each copy of a part of them: 2.2 KB in a
- * second at the most. Flows that last for a minute and more stand in a list
- * that is some seconds old.
+ * Interval between two lists, in ms, and its minimum per copy of each part,
+ * which limits the traffic to 2.2 KB per second. A list that is some seconds
+ * old still holds the flows that last for a minute or longer.
  */
-#define LIST_MS 4000
-#define LIST_COPY_MS 500
+#define LIST_INTERVAL_MS 4000
+#define LIST_COPY_INTERVAL_MS 500
 
 /*
- * Controls are asked from when one of them first answered a poll of this agent,
- * which spreads the agents of a site that all start at once by the pace that
- * control keeps; then each again after this time, in ms, doubled each time,
- * until all have answered or for so long.
+ * Requests for stored lists begin once a control has answered a poll of this
+ * agent. If all agents of a site start at once, the rate at which controls
+ * answer polls thus spreads the requests. Controls that do not answer are asked
+ * again after REQUEST_INTERVAL_MS, which doubles each time, until
+ * REQUEST_TIMEOUT_MS have passed.
  */
-#define ASK_MS 200
-#define ASK_FOR_MS 5000
+#define REQUEST_INTERVAL_MS 200
+#define REQUEST_TIMEOUT_MS 5000
 
 /*
- * Resets in a turn: callers whose request waits on such a flow come back at
- * once, and the target has just started.
+ * Maximum number of resets per tick: callers with a request on such a flow
+ * reconnect at once, while the target has just started.
  */
-#define RESETS 32
+#define RESETS_PER_TICK 32
 
 struct agent_ledger {
 	flow_member_t *member;
 	const dy_flow_holder_t *holder;
 	agent_ledger_reset_cb_t *reset;
 	void *context;
-	uint32_t list; /* number of the last one */
+	uint32_t list_number; /* of the last list sent */
 	uint64_t next_list_ms;
-	unsigned listed;      /* flows in it */
-	uint64_t ask_from_ms; /* 0: not begun */
-	uint64_t ask_at_ms;
-	uint64_t ask_again_ms;
-	unsigned answered; /* a bit for each control of the settings */
-	dy_stale_flows_t *former;
-	uint64_t *resets;
+	unsigned listed_flows;	   /* flows in the last list sent */
+	uint64_t first_request_ms; /* 0: no request yet */
+	uint64_t next_request_ms;
+	uint64_t request_interval_ms;
+	unsigned answered_controls; /* bit i: settings.seeds.items[i] */
+	dy_stale_flows_t *stale;
+	uint64_t *reset_counter;
 };
 
 static uint64_t now_ms(const agent_ledger_t *ledger)
@@ -50,7 +51,7 @@
 	return dy_loop_now_ms(ledger->member->loop);
 }
 
-static uint64_t time_of_day_ms(void)
+static uint64_t wall_clock_ms(void)
 {
 	return (uint64_t)(g_get_real_time() / 1000);
 }
@@ -66,10 +67,10 @@
 	ledger->holder = holder;
 	ledger->reset = reset;
 	ledger->context = context;
-	ledger->list = (uint32_t)g_get_real_time();
-	ledger->next_list_ms = now_ms(ledger) + LIST_MS;
-	ledger->former = dy_stale_flows_create(holder);
-	ledger->resets =
+	ledger->list_number = (uint32_t)g_get_real_time();
+	ledger->next_list_ms = now_ms(ledger) + LIST_INTERVAL_MS;
+	ledger->stale = dy_stale_flows_create(holder);
+	ledger->reset_counter =
 		dy_metrics_counter(member->metrics, "former_flows_reset");
 	return ledger;
 }
@@ -78,13 +79,11 @@
 {
 	if (!ledger)
 		return;
-	dy_stale_flows_destroy(ledger->former);
+	dy_stale_flows_destroy(ledger->stale);
 	g_free(ledger);
 }
 
-/* Lists. */
-
-/* Controls that get each list. */
+/* Number of controls that store each list. */
 static unsigned count_copies(const agent_ledger_t *ledger)
 {
 	const dy_flow_settings_t *settings = &ledger->member->settings;
@@ -119,20 +118,20 @@
 {
 	GArray *flows = g_array_new(FALSE, FALSE, sizeof(dy_ledger_flow_t));
 	dy_ledger_part_t part = { 0 };
-	uint32_t pause_ms;
+	uint32_t interval_ms;
 
 	dy_flow_holder_each_low_rate(ledger->holder, now_ms(ledger), add_flow,
 				     flows);
 	part.agent = ledger->member->settings.name;
 	part.target = (char *)target->id;
 	part.born_ms = target->born_ms;
-	part.list = ++ledger->list;
+	part.list = ++ledger->list_number;
 	part.parts = CLAMP((flows->len + DY_LEDGER_FLOWS - 1) / DY_LEDGER_FLOWS,
 			   1, DY_LEDGER_PARTS_MAX);
-	pause_ms =
-		MAX(LIST_MS, part.parts * count_copies(ledger) * LIST_COPY_MS);
-	part.made_ms = time_of_day_ms();
-	part.good_ms = dy_flow_ledger_ttl_ms(pause_ms);
+	interval_ms = MAX(LIST_INTERVAL_MS, part.parts * count_copies(ledger) *
+						    LIST_COPY_INTERVAL_MS);
+	part.made_ms = wall_clock_ms();
+	part.good_ms = dy_flow_ledger_ttl_ms(interval_ms);
 	for (; part.part < part.parts; part.part++) {
 		part.flows.flows_val = &g_array_index(
 			flows, dy_ledger_flow_t, part.part * DY_LEDGER_FLOWS);
@@ -141,41 +140,39 @@
 			    DY_LEDGER_FLOWS);
 		send_part(ledger, &part);
 	}
-	ledger->listed = flows->len;
-	ledger->next_list_ms = now_ms(ledger) + pause_ms;
+	ledger->listed_flows = flows->len;
+	ledger->next_list_ms = now_ms(ledger) + interval_ms;
 	g_array_free(flows, TRUE);
 }
 
-static void list_flows(agent_ledger_t *ledger)
+static void send_list_if_due(agent_ledger_t *ledger)
 {
 	const dy_target_notice_t *target =
 		dy_flow_holder_target(ledger->holder);
 
 	if (!target || now_ms(ledger) < ledger->next_list_ms ||
-	    (!ledger->listed && !dy_flow_holder_count(ledger->holder)))
+	    (!ledger->listed_flows && !dy_flow_holder_count(ledger->holder)))
 		return;
 	send_list(ledger, target);
 }
 
-/* What was open before. */
-
-static void ask(agent_ledger_t *ledger)
+static void request_lists(agent_ledger_t *ledger)
 {
 	const dy_address_list_t *controls = &ledger->member->settings.seeds;
 	dy_ledger_ask_t message = { ledger->member->settings.name };
 	int i;
 
-	ledger->ask_at_ms = now_ms(ledger) + ledger->ask_again_ms;
-	ledger->ask_again_ms *= 2;
+	ledger->next_request_ms = now_ms(ledger) + ledger->request_interval_ms;
+	ledger->request_interval_ms *= 2;
 	for (i = 0; i < controls->count; i++)
-		if (!(ledger->answered & 1u << i))
+		if (!(ledger->answered_controls & 1u << i))
 			flow_member_send(ledger->member, &controls->items[i],
 					 DY_LEDGER_PROGRAM, DY_LEDGER_ASK,
 					 (xdrproc_t)xdr_dy_ledger_ask_t,
 					 &message);
 }
 
-static void ask_in_time(agent_ledger_t *ledger)
+static void request_lists_if_due(agent_ledger_t *ledger)
 {
 	uint64_t now = now_ms(ledger);
 
@@ -185,15 +182,16 @@
 	    dy_flow_holder_instance_state(ledger->holder, "", 0) ==
 		    DY_TARGET_INSTANCE_UNKNOWN)
 		return;
-	if (!ledger->ask_from_ms) {
-		ledger->ask_from_ms = now;
-		ledger->ask_again_ms = ASK_MS;
+	if (!ledger->first_request_ms) {
+		ledger->first_request_ms = now;
+		ledger->request_interval_ms = REQUEST_INTERVAL_MS;
 	}
-	if (now - ledger->ask_from_ms < ASK_FOR_MS && now >= ledger->ask_at_ms)
-		ask(ledger);
+	if (now - ledger->first_request_ms < REQUEST_TIMEOUT_MS &&
+	    now >= ledger->next_request_ms)
+		request_lists(ledger);
 }
 
-static void note_answered(agent_ledger_t *ledger, const struct sockaddr *from)
+static void mark_answered(agent_ledger_t *ledger, const struct sockaddr *from)
 {
 	const dy_address_list_t *controls = &ledger->member->settings.seeds;
 	dy_address_t sender;
@@ -202,7 +200,7 @@
 	dy_address_load(&sender, from);
 	for (i = 0; i < controls->count; i++)
 		if (dy_address_equal(&sender, &controls->items[i]))
-			ledger->answered |= 1u << i;
+			ledger->answered_controls |= 1u << i;
 }
 
 void agent_ledger_receive(agent_ledger_t *ledger, const dy_sealed_t *message,
@@ -214,30 +212,31 @@
 	    !dy_sealed_load(message, (xdrproc_t)xdr_dy_ledger_part_t, &part,
 			    sizeof(part)))
 		return;
-	note_answered(ledger, from);
-	dy_stale_flows_add_part(ledger->former, &part, time_of_day_ms());
+	mark_answered(ledger, from);
+	dy_stale_flows_add_part(ledger->stale, &part, wall_clock_ms());
 	xdr_free((xdrproc_t)xdr_dy_ledger_part_t, (char *)&part);
 }
 
-static void reset_former(agent_ledger_t *ledger)
+static void reset_stale_flows(agent_ledger_t *ledger)
 {
 	dy_ledger_flow_t flow;
 	unsigned count = 0;
 
-	while (count < RESETS && dy_stale_flows_pop(ledger->former, &flow)) {
+	while (count < RESETS_PER_TICK &&
+	       dy_stale_flows_pop(ledger->stale, &flow)) {
 		ledger->reset(ledger->context, &flow.flow, flow.ack);
 		count++;
 	}
 	if (!count)
 		return;
-	*ledger->resets += count;
+	*ledger->reset_counter += count;
 	dy_log_event(DY_LOG_INFO, "former_flows_reset", "count=%u left=%u",
-		     count, dy_stale_flows_count(ledger->former));
+		     count, dy_stale_flows_count(ledger->stale));
 }
 
 void agent_ledger_tick(agent_ledger_t *ledger)
 {
-	list_flows(ledger);
-	ask_in_time(ledger);
-	reset_former(ledger);
+	send_list_if_due(ledger);
+	request_lists_if_due(ledger);
+	reset_stale_flows(ledger);
 }
--- a/src/process/flow/agent_ledger.h
+++ b/src/process/flow/agent_ledger.h
@@ -2,9 +2,10 @@
 #define DAMASKYARD_AGENT_LEDGER_H
 
 /*
- * An agent's part in the ledger of open flows (flow_ledger.h): it writes down
- * its target's flows at two controls, and at its start reads back which were
- * open before and resets those that are over.
+ * The agent's side of the ledger of open flows (flow_ledger.h). It stores lists
+ * of its target's flows at dy_flow_ledger_copies() controls, two by default.
+ * After a restart it reads them back and resets the flows that belong to an
+ * ended instance of the target.
  */
 
 #include "damaskyard/flow_holder.h"
@@ -13,7 +14,7 @@
 
 typedef struct agent_ledger agent_ledger_t;
 
-/* Reset a flow towards its caller. */
+/* Send a reset with sequence number seq to the caller of a flow. */
 typedef void agent_ledger_reset_cb_t(void *context, const dy_flow_id_t *flow,
 				     uint32_t seq);
 
@@ -24,11 +25,11 @@
 				    void *context);
 void agent_ledger_destroy(agent_ledger_t *ledger);
 
-/* Take what a control gave back. */
+/* Handle a message from a control, with a part of a stored list. */
 void agent_ledger_receive(agent_ledger_t *ledger, const dy_sealed_t *message,
 			  const struct sockaddr *from);
 
-/* Do what is due. Call it each 50 ms. */
+/* Send lists, requests and resets that are due. Call it every 50 ms. */
 void agent_ledger_tick(agent_ledger_t *ledger);
 
 #endif
--- a/src/process/flow/cmd_flow_agent.c
+++ b/src/process/flow/cmd_flow_agent.c
@@ -1,6 +1,6 @@
 /*
- * The agent of packet flows: its sockets, its target's notices, its
- * subscription and its stop.
+ * The agent of packet flows: sockets, notices of the target, subscription to
+ * the controls, and shutdown.
  */
 
 #include <string.h>
@@ -18,17 +18,17 @@
 #include "platform/heartbeat.h"
 #include "platform/packet.h"
 
-/* How often the stop is looked at, in ms. */
-#define CHECK_MS 50
+/* Interval of the ledger's tick and of the check for the stop's end. */
+#define TICK_INTERVAL_MS 50
 
 /*
- * A planned stop waits so long, in ms, for balancers to learn that they are
- * to choose others: a poll and a half. It is short, for while this agent is
- * away nothing reaches its target.
+ * Delay of a planned stop, in ms: one and a half poll intervals, in which
+ * balancers learn to choose other agents. It is short because nothing reaches
+ * the target while this agent is away.
  */
-#define STOP_MS 800
+#define STOP_DELAY_MS 800
 
-/* Bytes of a notice at most. */
+/* Limit of a notice. */
 #define BODY_MAX_BYTES 16384
 
 typedef struct flow_agent {
@@ -40,7 +40,7 @@
 	dy_http_server_t *ready_http;
 	dy_port_check_t *port_check;
 	agent_ledger_t *ledger;
-	uint64_t stopping_ms;
+	uint64_t stop_started_ms;
 	dy_log_limit_t refused_limit;
 	uint64_t *malformed;
 } flow_agent_t;
@@ -51,11 +51,11 @@
 }
 
 static void send_to_target(void *context, uint8_t *bytes, size_t len,
-			   uint32_t note)
+			   uint32_t tag)
 {
 	flow_agent_t *agent = context;
 
-	platform_packet_mark(bytes, note);
+	platform_packet_mark(bytes, tag);
 	dy_endpoint_send_to(agent->outbound, bytes, len,
 			    &agent->member.settings.target);
 }
@@ -79,7 +79,7 @@
 	send_to_caller(context, flow, bytes, sizeof(bytes));
 }
 
-static void pass_on(void *context, dy_flow_forward_t *forward)
+static void send_forward(void *context, dy_flow_forward_t *forward)
 {
 	flow_agent_t *agent = context;
 
@@ -127,19 +127,19 @@
 }
 
 /*
- * Its service is told before its target is heard of: after a restart of the
- * agent the target may hold flows, and balancers search them among the
- * service's agents. Where nobody listens at the target's port there are none,
- * and nobody need search here: a search that is sent to a VM which goes again
- * ends there.
+ * Announce the service even before the first notice of the target. After a
+ * restart of the agent the target may still hold flows, and balancers search
+ * for them among the agents of the service. If no process listens at the
+ * target's port, there are no flows and the service is not announced: a search
+ * that is sent to a VM which then stops would end there.
  */
-static void name_service(flow_agent_t *agent)
+static void set_announced_service(flow_agent_t *agent)
 {
 	if (!dy_flow_holder_is_target_gone(agent->holder))
 		agent->member.info.service = agent->member.settings.service;
 }
 
-/* Tell control what the target is and whether it takes flows. */
+/* Report the target's slots and whether it accepts flows to the controls. */
 static void on_changed(void *context)
 {
 	flow_agent_t *agent = context;
@@ -147,14 +147,14 @@
 
 	if (!member->subscriber)
 		return;
-	name_service(agent);
+	set_announced_service(agent);
 	member->info.slots = dy_flow_holder_slots(agent->holder);
 	dy_subscriber_set_info(member->subscriber, &member->info);
 	dy_subscriber_set_state(member->subscriber, member_state(agent), NULL,
 				0);
 }
 
-static void check_target(void *context)
+static void check_target_port(void *context)
 {
 	flow_agent_t *agent = context;
 
@@ -162,8 +162,8 @@
 }
 
 static const dy_flow_holder_callbacks_t holder_callbacks = {
-	send_to_target, send_to_caller, pass_on,    send_held,
-	send_nowhere,	send_report,	on_changed, check_target,
+	send_to_target, send_to_caller, send_forward, send_held,
+	send_nowhere,	send_report,	on_changed,   check_target_port,
 };
 
 static void on_outbound(void *context, uint8_t *bytes, size_t len,
@@ -174,7 +174,7 @@
 	int bounced;
 
 	(void)from;
-	/* What is given back is still the caller's packet. */
+	/* The header of a bounced packet is still the caller's. */
 	if (truncated ||
 	    platform_packet_load(bytes, len, PLATFORM_FROM_TARGET, &packet)) {
 		++*agent->malformed;
@@ -187,9 +187,9 @@
 				      now_ms(agent));
 }
 
-/* Nothing is sent to the address that answers go out from. */
-static void on_stray(void *context, uint8_t *bytes, size_t len,
-		     const struct sockaddr *from, int truncated)
+/* Answers are sent from this address; nothing sends packets to it. */
+static void on_unexpected_datagram(void *context, uint8_t *bytes, size_t len,
+				   const struct sockaddr *from, int truncated)
 {
 	flow_agent_t *agent = context;
 
@@ -202,30 +202,31 @@
 
 static void receive_forward(flow_agent_t *agent, const dy_sealed_t *message)
 {
-	static char packet_room[DY_PACKET_BYTES];
-	static char service_room[DY_NAME_BYTES + 1];
-	static dy_address_t tries_room[DY_FLOW_TRIES];
+	static char packet_buf[DY_PACKET_BYTES];
+	static char service_buf[DY_NAME_BYTES + 1];
+	static dy_address_t tries_buf[DY_FLOW_TRIES];
 	dy_flow_forward_t forward = { 0 };
 	dy_packet_t packet;
 
-	forward.service = service_room;
-	forward.packet.packet_val = packet_room;
-	forward.tries.tries_val = tries_room;
+	forward.service = service_buf;
+	forward.packet.packet_val = packet_buf;
+	forward.tries.tries_val = tries_buf;
 	if (!dy_sealed_fill(message, (xdrproc_t)xdr_dy_flow_forward_t,
 			    &forward) ||
-	    platform_packet_load((uint8_t *)packet_room,
+	    platform_packet_load((uint8_t *)packet_buf,
 				 forward.packet.packet_len,
 				 PLATFORM_FROM_CALLER, &packet)) {
 		++*agent->malformed;
 		return;
 	}
 	if (packet.data_bytes)
-		platform_packet_find_request((uint8_t *)packet_room, &packet);
+		platform_packet_find_request((uint8_t *)packet_buf, &packet);
 	dy_flow_holder_receive_forward(agent->holder, &forward, &packet,
 				       now_ms(agent));
 }
 
-static void receive_ask(flow_agent_t *agent, const dy_sealed_t *message)
+static void receive_report_request(flow_agent_t *agent,
+				   const dy_sealed_t *message)
 {
 	dy_flow_ask_t ask = { 0 };
 
@@ -253,13 +254,13 @@
 		receive_forward(agent, &message);
 	else if (message.program == DY_FLOW_AGENT_PROGRAM &&
 		 message.procedure == DY_FLOW_ASK)
-		receive_ask(agent, &message);
+		receive_report_request(agent, &message);
 	else if (message.program == DY_LEDGER_AGENT_PROGRAM)
 		agent_ledger_receive(agent->ledger, &message, from);
 }
 
-static void take_notice(flow_agent_t *agent, dy_http_exchange_t *exchange,
-			const dy_http_request_t *request, const char *id)
+static void handle_notice(flow_agent_t *agent, dy_http_exchange_t *exchange,
+			  const dy_http_request_t *request, const char *id)
 {
 	dy_target_notice_t notice;
 	GError *error = NULL;
@@ -291,14 +292,14 @@
 
 	switch (call) {
 	case PLATFORM_CALL_HEARTBEAT:
-		take_notice(agent, exchange, request, id);
+		handle_notice(agent, exchange, request, id);
 		return;
 	case PLATFORM_CALL_LEAVE:
 		dy_flow_holder_target_left(agent->holder, id);
 		dy_http_answer_status(exchange, 200);
 		return;
 	default:
-		flow_member_answer(exchange, call, !agent->stopping_ms);
+		flow_member_answer(exchange, call, !agent->stop_started_ms);
 	}
 }
 
@@ -306,18 +307,18 @@
 {
 	flow_agent_t *agent = context;
 
-	if (agent->stopping_ms)
+	if (agent->stop_started_ms)
 		return;
-	agent->stopping_ms = now_ms(agent);
+	agent->stop_started_ms = now_ms(agent);
 	dy_log_event(DY_LOG_INFO, "stop_begun", "flows=%u",
 		     dy_flow_holder_count(agent->holder));
 	dy_flow_holder_stop(agent->holder);
 	if (!agent->member.subscriber)
 		return;
-	/* With its target gone it holds no flow, and nobody need search it. */
+	/* An inactive target holds no flows, so no search needs this agent. */
 	dy_subscriber_set_state(agent->member.subscriber,
 				dy_flow_holder_is_target_inactive(
-					agent->holder, agent->stopping_ms)
+					agent->holder, agent->stop_started_ms)
 					? DY_MEMBER_LEFT
 					: DY_MEMBER_DRAINING,
 				NULL, 0);
@@ -327,7 +328,8 @@
 {
 	flow_agent_t *agent = context;
 
-	if (agent->stopping_ms || !flow_member_rejoin(&agent->member, status))
+	if (agent->stop_started_ms ||
+	    !flow_member_rejoin(&agent->member, status))
 		return;
 	agent->member.info.service = "";
 	on_changed(agent);
@@ -355,7 +357,7 @@
 {
 	flow_member_t *member = &agent->member;
 
-	name_service(agent);
+	set_announced_service(agent);
 	dy_log_event(DY_LOG_INFO, "joining", "target_there=%d",
 		     !dy_flow_holder_is_target_gone(agent->holder));
 	flow_member_subscribe(member, DY_MEMBER_AGENT, &subscriber_callbacks);
@@ -368,23 +370,24 @@
 	flow_agent_t *agent = context;
 
 	dy_flow_holder_port_checked(agent->holder, state, now_ms(agent));
-	if (!agent->member.subscriber && !agent->stopping_ms)
+	if (!agent->member.subscriber && !agent->stop_started_ms)
 		subscribe(agent);
 }
 
-static void on_report(void *context)
+static void on_report_timer(void *context)
 {
 	flow_agent_t *agent = context;
 
 	dy_flow_holder_tick(agent->holder, now_ms(agent));
 }
 
-static void on_check(void *context)
+static void on_tick(void *context)
 {
 	flow_agent_t *agent = context;
 
 	agent_ledger_tick(agent->ledger);
-	if (!agent->stopping_ms || now_ms(agent) - agent->stopping_ms < STOP_MS)
+	if (!agent->stop_started_ms ||
+	    now_ms(agent) - agent->stop_started_ms < STOP_DELAY_MS)
 		return;
 	dy_log_event(DY_LOG_INFO, "stop_ended", "");
 	dy_loop_end(agent->member.loop);
@@ -408,8 +411,8 @@
 	const dy_flow_settings_t *settings = &agent->member.settings;
 	dy_loop_t *loop = agent->member.loop;
 
-	agent->packets = dy_endpoint_create(loop, &settings->packets, on_stray,
-					    agent, error);
+	agent->packets = dy_endpoint_create(
+		loop, &settings->packets, on_unexpected_datagram, agent, error);
 	if (!agent->packets)
 		return FALSE;
 	agent->outbound = dy_endpoint_create(loop, &settings->outbound,
@@ -458,8 +461,9 @@
 		dy_port_check_begin(agent->port_check);
 		dy_loop_on_stop(agent->member.loop, begin_stop, agent);
 		dy_loop_every(agent->member.loop, DY_FLOW_REPORT_INTERVAL_MS,
-			      on_report, agent);
-		dy_loop_every(agent->member.loop, CHECK_MS, on_check, agent);
+			      on_report_timer, agent);
+		dy_loop_every(agent->member.loop, TICK_INTERVAL_MS, on_tick,
+			      agent);
 		dy_log_event(DY_LOG_INFO, "started", "name=%s service=%s",
 			     agent->member.settings.name,
 			     agent->member.settings.service);
--- a/src/process/flow/cmd_flow_balancer.c
+++ b/src/process/flow/cmd_flow_balancer.c
@@ -1,5 +1,6 @@
 /*
- * The balancer of packet flows: its sockets, its subscription and its stop.
+ * The balancer of packet flows: sockets, subscription to the controls,
+ * readiness, and shutdown.
  */
 
 #include <string.h>
@@ -16,27 +17,29 @@
 #include "platform/packet.h"
 
 /*
- * Without a majority's confirmation for this long, in ms, the fabric is told
- * to send new flows elsewhere: a document that was replaced must not open
- * flows that it no longer allows. Five polls; longer than an election.
+ * Time to live of a majority's confirmation, in ms; without one the balancer
+ * is not ready, and the fabric sends new flows elsewhere. Otherwise a replaced
+ * document could open flows that are no longer allowed. Five poll intervals,
+ * and longer than an election.
  */
-#define CONFIRMED_MS 2500
+#define CONFIRMATION_TIMEOUT_MS 2500
 
-/* How often that, silence and idle flows are looked at, in ms. */
-#define CHECK_MS DY_CONTACT_TICK_MS
+/* Interval of the checks of readiness, isolation, idle flows and the stop. */
+#define TICK_INTERVAL_MS DY_ISOLATION_TICK_MS
 
 /*
- * A planned stop: not ready from its start. The fabric asks twice a second and
- * believes the second refusal, so after this time, in ms, packets stop; it
- * ends once none came for the quiet time.
+ * A planned stop, times in ms. The balancer is not ready from its start. The
+ * fabric checks readiness twice a second and acts on the second refusal, so
+ * packets stop within STOP_MIN_MS. The stop then ends once no packet has come
+ * for STOP_IDLE_MS.
  */
-#define STOP_UNREADY_MS 1500
-#define STOP_QUIET_MS 400
+#define STOP_MIN_MS 1500
+#define STOP_IDLE_MS 400
 
-/* What a stop leaves of the time that it may take, in ms. */
+/* A stop ends this long before the limit of the settings, in ms. */
 #define STOP_MARGIN_MS 700
 
-/* The document's limit: HTTP bodies of the readiness call are empty. */
+/* Limit of HTTP bodies; the readiness call has none. */
 #define BODY_MAX_BYTES 1024
 
 typedef struct flow_balancer {
@@ -44,12 +47,12 @@
 	dy_flow_router_t *router;
 	dy_endpoint_t *packets;
 	dy_http_server_t *http;
-	dy_contact_t contact;
+	dy_isolation_t isolation;
 	int caught_up;
 	int has_document;
 	int ready;
-	uint64_t stopping_ms; /* since when; 0: not stopping */
-	uint64_t packet_ms;   /* the last packet of a caller */
+	uint64_t stop_started_ms; /* 0: not stopping */
+	uint64_t last_packet_ms;  /* arrival from a caller */
 	uint64_t *malformed;
 	uint64_t *unready_packets;
 } flow_balancer_t;
@@ -63,7 +66,7 @@
 {
 	flow_balancer_t *balancer = context;
 
-	dy_contact_note_asked(&balancer->contact);
+	dy_isolation_record_sent(&balancer->isolation);
 	flow_member_send(&balancer->member,
 			 &forward->tries.tries_val[forward->step],
 			 DY_FLOW_AGENT_PROGRAM, DY_FLOW_FORWARD,
@@ -89,7 +92,7 @@
 	dy_subscriber_press(balancer->member.subscriber);
 }
 
-static void ask_agent(void *context, const dy_address_t *agent)
+static void request_report(void *context, const dy_address_t *agent)
 {
 	flow_balancer_t *balancer = context;
 	dy_flow_ask_t ask = { 0 };
@@ -103,7 +106,7 @@
 	send_forward,
 	send_reset,
 	confirm_members,
-	ask_agent,
+	request_report,
 };
 
 static void on_packet(void *context, uint8_t *bytes, size_t len,
@@ -120,17 +123,18 @@
 	}
 	if (packet.data_bytes)
 		platform_packet_find_request(bytes, &packet);
-	balancer->packet_ms = now_ms(balancer);
+	balancer->last_packet_ms = now_ms(balancer);
 	/*
-	 * Guards against a start that knows no targets yet: it would refuse
-	 * what others serve. The caller's copy finds it ready, or another.
+	 * Before the first state arrives no target is known, and packets that
+	 * other balancers can serve would be refused. They are dropped; the
+	 * caller's retransmission finds this balancer ready, or another one.
 	 */
 	if (!balancer->has_document || !balancer->caught_up) {
 		++*balancer->unready_packets;
 		return;
 	}
 	dy_flow_router_receive_packet(balancer->router, &packet, bytes, len,
-				      balancer->packet_ms);
+				      balancer->last_packet_ms);
 }
 
 static void receive_held(flow_balancer_t *balancer, const dy_sealed_t *message)
@@ -145,14 +149,15 @@
 static void receive_nowhere(flow_balancer_t *balancer,
 			    const dy_sealed_t *message)
 {
-	static char room[DY_PACKET_BYTES];
+	static char packet_buf[DY_PACKET_BYTES];
 	dy_flow_nowhere_t nowhere = { 0 };
 	dy_packet_t packet;
 
-	nowhere.packet.packet_val = room;
+	nowhere.packet.packet_val = packet_buf;
 	if (!dy_sealed_fill(message, (xdrproc_t)xdr_dy_flow_nowhere_t,
 			    &nowhere) ||
-	    platform_packet_load((uint8_t *)room, nowhere.packet.packet_len,
+	    platform_packet_load((uint8_t *)packet_buf,
+				 nowhere.packet.packet_len,
 				 PLATFORM_FROM_CALLER, &packet))
 		return;
 	dy_flow_router_receive_nowhere(balancer->router, &nowhere, &packet,
@@ -179,7 +184,7 @@
 	if (truncated || dy_seal_open(balancer->member.seal, bytes, len,
 				      &message) != DY_SEAL_OK)
 		return;
-	dy_contact_note_heard(&balancer->contact);
+	dy_isolation_record_received(&balancer->isolation);
 	if (dy_subscriber_receive(balancer->member.subscriber, &message) ||
 	    message.program != DY_FLOW_BALANCER_PROGRAM)
 		return;
@@ -204,11 +209,11 @@
 static void update_ready(flow_balancer_t *balancer)
 {
 	uint64_t age_ms = dy_subscriber_age_ms(balancer->member.subscriber);
-	int cut_off = dy_contact_is_cut_off(&balancer->contact);
-	int confirmed = age_ms < CONFIRMED_MS;
+	int cut_off = dy_isolation_is_cut_off(&balancer->isolation);
+	int confirmed = age_ms < CONFIRMATION_TIMEOUT_MS;
 	int ready = confirmed && balancer->caught_up &&
 		    balancer->has_document && !cut_off &&
-		    !balancer->stopping_ms;
+		    !balancer->stop_started_ms;
 
 	if (ready == balancer->ready)
 		return;
@@ -217,7 +222,7 @@
 		     "confirmed=%d caught_up=%d document=%d cut_off=%d "
 		     "stopping=%d",
 		     confirmed, balancer->caught_up, balancer->has_document,
-		     cut_off, !!balancer->stopping_ms);
+		     cut_off, !!balancer->stop_started_ms);
 }
 
 static void on_document(void *context, const dy_document_info_t *info,
@@ -280,9 +285,9 @@
 {
 	flow_balancer_t *balancer = context;
 
-	if (balancer->stopping_ms)
+	if (balancer->stop_started_ms)
 		return;
-	balancer->stopping_ms = now_ms(balancer);
+	balancer->stop_started_ms = now_ms(balancer);
 	dy_log_event(DY_LOG_INFO, "stop_begun", "flows=%u",
 		     dy_flow_router_count(balancer->router));
 	dy_subscriber_set_state(balancer->member.subscriber, DY_MEMBER_DRAINING,
@@ -294,7 +299,7 @@
 {
 	flow_balancer_t *balancer = context;
 
-	if (!balancer->stopping_ms)
+	if (!balancer->stop_started_ms)
 		flow_member_rejoin(&balancer->member, status);
 }
 
@@ -307,30 +312,32 @@
 	.refused = on_refused,
 };
 
-static void check_stop(flow_balancer_t *balancer)
+static void end_stop_if_due(flow_balancer_t *balancer)
 {
 	uint64_t now = now_ms(balancer);
-	uint64_t since = now - balancer->stopping_ms;
-	uint64_t latest = balancer->member.settings.stop_ms;
+	uint64_t elapsed_ms = now - balancer->stop_started_ms;
+	uint64_t limit_ms = balancer->member.settings.stop_ms;
 
-	if (!balancer->stopping_ms)
+	if (!balancer->stop_started_ms)
 		return;
-	latest -= MIN(latest, (uint64_t)STOP_MARGIN_MS);
-	if (since < latest && (since < STOP_UNREADY_MS ||
-			       now - balancer->packet_ms < STOP_QUIET_MS))
+	limit_ms -= MIN(limit_ms, (uint64_t)STOP_MARGIN_MS);
+	if (elapsed_ms < limit_ms &&
+	    (elapsed_ms < STOP_MIN_MS ||
+	     now - balancer->last_packet_ms < STOP_IDLE_MS))
 		return;
-	dy_log_event(DY_LOG_INFO, "stop_ended", "ms=%lu", (unsigned long)since);
+	dy_log_event(DY_LOG_INFO, "stop_ended", "ms=%lu",
+		     (unsigned long)elapsed_ms);
 	dy_loop_end(balancer->member.loop);
 }
 
-static void on_check(void *context)
+static void on_tick(void *context)
 {
 	flow_balancer_t *balancer = context;
 
-	dy_contact_tick(&balancer->contact);
+	dy_isolation_tick(&balancer->isolation);
 	update_ready(balancer);
 	dy_flow_router_expire(balancer->router, now_ms(balancer));
-	check_stop(balancer);
+	end_stop_if_due(balancer);
 }
 
 static gboolean open_sockets(flow_balancer_t *balancer, GError **error)
@@ -372,7 +379,7 @@
 {
 	gboolean ok;
 
-	dy_contact_init(&balancer->contact);
+	dy_isolation_init(&balancer->isolation);
 	ok = flow_member_open(&balancer->member, on_message, balancer, error);
 	if (ok) {
 		create_router(balancer);
@@ -382,7 +389,7 @@
 		flow_member_subscribe(&balancer->member, DY_MEMBER_BALANCER,
 				      &subscriber_callbacks);
 		dy_loop_on_stop(balancer->member.loop, begin_stop, balancer);
-		dy_loop_every(balancer->member.loop, CHECK_MS, on_check,
+		dy_loop_every(balancer->member.loop, TICK_INTERVAL_MS, on_tick,
 			      balancer);
 		dy_log_event(DY_LOG_INFO, "started", "name=%s",
 			     balancer->member.settings.name);
--- a/src/process/flow/cmd_flow_control.c
+++ b/src/process/flow/cmd_flow_control.c
@@ -1,5 +1,6 @@
 /*
- * A control of an open group, with the door for the platform's operator.
+ * A control of a group with dynamic membership, with the HTTP API for the
+ * platform's operator.
  */
 
 #include <stdio.h>
@@ -14,41 +15,41 @@
 #include "operator_api.h"
 #include "slot_claim.h"
 
-/* Number of the group: there is one where the seeds are told by a platform. */
-#define GROUP 1
+/* A platform that provides the seeds has a single group. */
+#define GROUP_NUMBER 1
 
 /*
- * A snapshot is written beyond this much log, in bytes: some twenty packed
- * documents of today's size, which a control with a twentieth of a core applies
- * in a few tenths of a second after a restart.
+ * Size of the log from which a snapshot is written, in bytes: some twenty
+ * packed documents. After a restart, a control with a twentieth of a core
+ * applies that much in a few tenths of a second.
  */
-#define SNAPSHOT_BYTES (256 * 1024)
+#define SNAPSHOT_LOG_BYTES (256 * 1024)
 
 /*
- * The first election of a control's life comes after this, in ms, to twice: a
- * leader that is there sends two heartbeats in it.
+ * Minimum of the first election timeout after a start, in ms; the maximum is
+ * twice that. A running leader sends two heartbeats in this time.
  */
-#define FIRST_ELECTION_MS 75
+#define FIRST_ELECTION_TIMEOUT_MS 75
 
 /*
- * Before a control whose disk failed is started again, in ms. A full disk
- * refuses every write for seconds; trying costs little.
+ * Delay before a failed control is started again, in ms. A full disk refuses
+ * all writes for seconds, and an attempt is cheap.
  */
-#define RETRY_MS 300
+#define RESTART_DELAY_MS 300
 
 static void fill_options(dy_control_options_t *options,
 			 const dy_flow_settings_t *settings)
 {
 	memset(options, 0, sizeof(*options));
-	options->group = GROUP;
+	options->group = GROUP_NUMBER;
 	options->folder = settings->data;
 	options->listen = settings->inner;
 	options->dynamic_membership = 1;
 	options->losses = settings->losses;
 	options->domains = settings->domains;
 	options->check = operator_api_check_document;
-	options->snapshot_bytes = SNAPSHOT_BYTES;
-	options->first_election_ms = FIRST_ELECTION_MS;
+	options->snapshot_bytes = SNAPSHOT_LOG_BYTES;
+	options->first_election_ms = FIRST_ELECTION_TIMEOUT_MS;
 	options->secrets = settings->secrets;
 	options->leases.lease_ms = DY_LEASE_MS;
 	options->leases.keep_ms = (uint64_t)DY_MEMBER_KEEP_S * 1000;
@@ -57,56 +58,63 @@
 	options->keys.renew_ms = (uint64_t)DY_MEMBER_KEEP_S * 1000;
 }
 
-typedef struct host {
+typedef struct reload_context {
 	dy_flow_settings_t *settings;
 	const char *path;
-} host_t;
+} reload_context_t;
 
 static void on_settings(void *context)
 {
-	host_t *host = context;
+	reload_context_t *reload = context;
 
-	dy_flow_settings_refresh(host->settings, host->path);
+	dy_flow_settings_reload_seeds(reload->settings, reload->path);
 }
 
-/* One life of the control. FALSE with error set if it could not begin. */
-static gboolean run(flow_member_t *member, const dy_control_options_t *options,
-		    dy_control_exit_reason_t *end, GError **error)
+/*
+ * Run the control until it exits. Returns TRUE with exit_reason set, or FALSE
+ * with error set if it could not start.
+ */
+static gboolean run_control(flow_member_t *member,
+			    const dy_control_options_t *options,
+			    dy_control_exit_reason_t *exit_reason,
+			    GError **error)
 {
 	dy_metrics_t *metrics = dy_metrics_create();
 	dy_loop_t *loop = dy_loop_create(metrics);
-	host_t host = { &member->settings, member->path };
+	reload_context_t reload = { &member->settings, member->path };
 	dy_control_t *control = NULL;
 	metrics_page_t *page = NULL;
-	operator_api_t *door;
+	operator_api_t *api;
 
-	door = operator_api_create(loop, metrics, &member->settings.control,
-				   error);
-	if (door && member->settings.metrics.port)
+	api = operator_api_create(loop, metrics, &member->settings.control,
+				  error);
+	if (api && member->settings.metrics.port)
 		page = metrics_page_create(loop, metrics,
 					   &member->settings.metrics, error);
-	if (door && (page || !member->settings.metrics.port))
+	if (api && (page || !member->settings.metrics.port))
 		control = dy_control_create(loop, metrics, options, error);
 	if (control) {
-		operator_api_set_control(door, control);
+		operator_api_set_control(api, control);
 		dy_loop_on_stop(loop, dy_control_stop, control);
-		dy_loop_on_reload(loop, on_settings, &host);
-		dy_loop_every(loop, FLOW_SETTINGS_MS, on_settings, &host);
+		dy_loop_on_reload(loop, on_settings, &reload);
+		dy_loop_every(loop, FLOW_SETTINGS_RELOAD_INTERVAL_MS,
+			      on_settings, &reload);
 		dy_loop_run(loop);
-		*end = dy_control_exit_reason(control);
+		*exit_reason = dy_control_exit_reason(control);
 	}
 	dy_control_destroy(control);
-	operator_api_destroy(door);
+	operator_api_destroy(api);
 	metrics_page_destroy(page);
 	dy_loop_destroy(loop);
 	dy_metrics_destroy(metrics);
 	return control != NULL;
 }
 
-static void log_retry(const GError *error)
+static void log_restart(const GError *error)
 {
 	dy_log_event(DY_LOG_WARN, "control_starts_again", "ms=%d error=%s",
-		     RETRY_MS, dy_log_quote(error ? error->message : "disk"));
+		     RESTART_DELAY_MS,
+		     dy_log_quote(error ? error->message : "disk"));
 }
 
 static int is_damaged(const GError *error)
@@ -115,11 +123,11 @@
 }
 
 /*
- * A store that is damaged, or whose identity is no member any more, is as
- * good as a lost disk: the control comes back as somebody else, and never
- * votes under the old identity.
+ * Clear a store that is damaged, or whose identity is no longer a member. As
+ * after the loss of its disk, the control then joins under a new identity, and
+ * never votes under the old one.
  */
-static void give_up_store(const char *folder)
+static void clear_store(const char *folder)
 {
 	GError *error = NULL;
 
@@ -131,32 +139,33 @@
 }
 
 /*
- * Guards against a disk that is full or failing for a while: the control ends,
- * since it must not go on with a disk that did not take what it wrote, and
- * begins anew from what the disk holds, as a restarted process would.
+ * Run the control, and start it again when it fails. This survives a disk that
+ * is full or failing for a while: the control exits, because it must not
+ * continue after a failed write, and starts again from what the disk holds, as
+ * a restarted process does.
  */
-static int live(flow_member_t *member)
+static int run_until_stopped(flow_member_t *member)
 {
 	dy_control_options_t options;
-	dy_control_exit_reason_t end;
+	dy_control_exit_reason_t exit_reason;
 	GError *error = NULL;
-	int placed;
+	int claimed;
 
 	for (;;) {
 		fill_options(&options, &member->settings);
-		end = DY_CONTROL_DISK_FAILED;
-		placed = slot_claim_run(&options, &member->settings, &error);
-		if (!placed)
+		exit_reason = DY_CONTROL_DISK_FAILED;
+		claimed = slot_claim_run(&options, &member->settings, &error);
+		if (!claimed)
 			return DY_EXIT_OK;
-		if (placed > 0)
-			run(member, &options, &end, &error);
-		if (!error && end == DY_CONTROL_STOPPED)
+		if (claimed > 0)
+			run_control(member, &options, &exit_reason, &error);
+		if (!error && exit_reason == DY_CONTROL_STOPPED)
 			return DY_EXIT_OK;
-		log_retry(error);
-		if (end == DY_CONTROL_EVICTED || is_damaged(error))
-			give_up_store(member->settings.data);
+		log_restart(error);
+		if (exit_reason == DY_CONTROL_EVICTED || is_damaged(error))
+			clear_store(member->settings.data);
 		g_clear_error(&error);
-		g_usleep((gulong)RETRY_MS * 1000);
+		g_usleep((gulong)RESTART_DELAY_MS * 1000);
 	}
 }
 
@@ -171,7 +180,7 @@
 	if (code == DY_EXIT_OK) {
 		dy_log_event(DY_LOG_INFO, "started", "name=%s first_start=%d",
 			     member.settings.name, member.settings.first_start);
-		code = live(&member);
+		code = run_until_stopped(&member);
 	}
 	flow_member_clear(&member);
 	return code;
--- a/src/process/flow/flow_member.c
+++ b/src/process/flow/flow_member.c
@@ -44,7 +44,7 @@
 {
 	flow_member_t *member = context;
 
-	dy_flow_settings_refresh(&member->settings, member->path);
+	dy_flow_settings_reload_seeds(&member->settings, member->path);
 }
 
 static void on_datagram(void *context, uint8_t *bytes, size_t len,
@@ -76,7 +76,8 @@
 		if (!member->page)
 			return FALSE;
 	}
-	dy_loop_every(member->loop, FLOW_SETTINGS_MS, on_settings, member);
+	dy_loop_every(member->loop, FLOW_SETTINGS_RELOAD_INTERVAL_MS,
+		      on_settings, member);
 	dy_loop_on_reload(member->loop, on_settings, member);
 	return TRUE;
 }
@@ -135,11 +136,12 @@
 		      void *args)
 {
 	dy_seal_head_t head = { 0, program, procedure };
-	size_t len = dy_seal_write_call(member->seal, &head, proc, args,
-					member->out, sizeof(member->out));
+	size_t len =
+		dy_seal_write_call(member->seal, &head, proc, args,
+				   member->send_buf, sizeof(member->send_buf));
 
 	if (len)
-		dy_endpoint_send_to(member->inner, member->out, len, to);
+		dy_endpoint_send_to(member->inner, member->send_buf, len, to);
 }
 
 void flow_member_close(flow_member_t *member)
--- a/src/process/flow/flow_settings.c
+++ b/src/process/flow/flow_settings.c
@@ -6,24 +6,28 @@
 #include "damaskyard/log.h"
 
 /*
- * Inner ports, counted from the first that may be used, so that two roles on
- * one VM do not meet.
+ * Offsets from the setting inner-port. They differ so that several roles can
+ * run on one VM.
  */
-enum { PORT_OF_CONTROL = 0, PORT_OF_BALANCER = 1, PORT_OF_AGENT = 2 };
+enum {
+	PORT_OFFSET_CONTROL = 0,
+	PORT_OFFSET_BALANCER = 1,
+	PORT_OFFSET_AGENT = 2
+};
 
-/* Of a share or a count; far above any that makes sense. */
-#define REAL_MOST 1e6
+/* Limit of factors and counts; far above any useful value. */
+#define REAL_MAX 1e6
 
-/* Of a planned stop, in seconds, if the settings do not say. */
+/* Default time limit of a planned stop, in seconds. */
 #define DEFAULT_STOP_S 30
 
-/* Losses at once at most: twice that and one must fit the group's slots. */
+/* Limit of losses: the group's slots must hold 2 * losses + 1 controls. */
 #define LOSSES_MAX 7
 
 typedef struct key {
 	const char *group;
 	const char *name;
-	unsigned roles; /* that need it, by bit */
+	unsigned required_by; /* bits of the roles */
 } flow_key_t;
 
 #define BALANCER (1u << DY_FLOW_BALANCER)
@@ -63,7 +67,10 @@
 	return FALSE;
 }
 
-/* A value with its spaces stripped, or NULL if it is empty or missing. */
+/*
+ * Returns a value without surrounding spaces, to be freed, or NULL if it is
+ * empty or missing.
+ */
 static char *load_text(GKeyFile *file, const char *group, const char *name)
 {
 	char *text = g_key_file_get_string(file, group, name, NULL);
@@ -87,18 +94,17 @@
 	return ok;
 }
 
-/* What a number may be, and what it is if it is not given. */
 typedef struct range {
-	uint64_t fallback;
-	uint64_t least;
-	uint64_t most;
+	uint64_t default_value;
+	uint64_t min;
+	uint64_t max;
 } range_t;
 
 static const range_t port_range = { 0, 1, UINT16_MAX - 3 };
-/* 0: no counters over HTTP. */
+/* 0: counters are not served. */
 static const range_t metrics_range = { 0, 0, UINT16_MAX };
 static const range_t stop_range = { DEFAULT_STOP_S, 1, 3600 };
-/* 0, as a platform may say that bears none, is the default too. */
+/* 0 is the default; a platform that tolerates no loss may also write it. */
 static const range_t losses_range = { 0, 0, LOSSES_MAX };
 
 static gboolean load_number(GKeyFile *file, const char *group, const char *name,
@@ -108,17 +114,17 @@
 	char *text = load_text(file, group, name);
 	gboolean ok = TRUE;
 
-	*number = range->fallback;
-	if (text && !g_ascii_string_to_unsigned(text, 10, range->least,
-						range->most, number, NULL))
-		ok = refuse(error, name, text, "a whole number in its range");
+	*number = range->default_value;
+	if (text && !g_ascii_string_to_unsigned(text, 10, range->min,
+						range->max, number, NULL))
+		ok = refuse(error, name, text, "an integer in its range");
 	g_free(text);
 	return ok;
 }
 
-/* A share or count that is not below least; missing: the fallback. */
+/* Read a number of min or more; *value stays if the key is missing. */
 static gboolean load_real(GKeyFile *file, const char *group, const char *name,
-			  double least, double *value, GError **error)
+			  double min, double *value, GError **error)
 {
 	char *text = load_text(file, group, name);
 	gboolean ok = TRUE;
@@ -126,7 +132,7 @@
 
 	if (text) {
 		*value = g_ascii_strtod(text, &end);
-		if (*end || !(*value >= least && *value <= REAL_MOST))
+		if (*end || !(*value >= min && *value <= REAL_MAX))
 			ok = refuse(error, name, text, "a number in its range");
 	}
 	g_free(text);
@@ -164,9 +170,9 @@
 }
 
 /*
- * The group's key. Without a key file messages are sealed under a key that is
- * no secret: they are checked for damage and for coming from another
- * protocol, not for who sent them, so the network must keep strangers out.
+ * Load the group's key. Without a key file, messages are sealed under a public
+ * key: that detects corruption and messages of other protocols, but does not
+ * authenticate the sender. The network must then keep other senders out.
  */
 static gboolean load_secrets(GKeyFile *file, dy_secrets_t *secrets,
 			     GError **error)
@@ -185,7 +191,7 @@
 	return TRUE;
 }
 
-/* The failure domains that the file names; NULL: none. */
+/* Returns the listed failure domains, to be freed, or NULL without any. */
 static char **load_domains(GKeyFile *file)
 {
 	char *text = load_text(file, "group", "failure-domains");
@@ -198,15 +204,15 @@
 	return domains;
 }
 
-static gboolean check_needed(GKeyFile *file, dy_flow_role_t role,
-			     GError **error)
+static gboolean check_required(GKeyFile *file, dy_flow_role_t role,
+			       GError **error)
 {
 	gboolean ok = TRUE;
 	char *text;
 	size_t i;
 
 	for (i = 0; ok && i < G_N_ELEMENTS(keys); i++) {
-		if (!(keys[i].roles & 1u << role))
+		if (!(keys[i].required_by & 1u << role))
 			continue;
 		text = load_text(file, keys[i].group, keys[i].name);
 		if (!text)
@@ -250,8 +256,9 @@
 static gboolean load_listen(GKeyFile *file, dy_flow_settings_t *settings,
 			    dy_flow_role_t role, GError **error)
 {
-	static const uint16_t offsets[] = { PORT_OF_BALANCER, PORT_OF_AGENT,
-					    PORT_OF_CONTROL };
+	static const uint16_t offsets[] = { PORT_OFFSET_BALANCER,
+					    PORT_OFFSET_AGENT,
+					    PORT_OFFSET_CONTROL };
 	uint64_t metrics_port;
 	uint64_t port;
 
@@ -282,7 +289,7 @@
 	uint64_t losses;
 	uint64_t stop_s;
 
-	if (!check_needed(file, role, error) ||
+	if (!check_required(file, role, error) ||
 	    !load_listen(file, settings, role, error) ||
 	    !load_address(file, "target", "address", &settings->target,
 			  error) ||
@@ -335,8 +342,8 @@
 	memset(settings, 0, sizeof(*settings));
 }
 
-gboolean dy_flow_settings_refresh(dy_flow_settings_t *settings,
-				  const char *path)
+gboolean dy_flow_settings_reload_seeds(dy_flow_settings_t *settings,
+				       const char *path)
 {
 	GKeyFile *file = g_key_file_new();
 	dy_address_list_t seeds = { 0 };
--- a/src/process/flow/metrics_page.c
+++ b/src/process/flow/metrics_page.c
@@ -4,7 +4,7 @@
 
 #define METRICS_PATH "/metrics"
 
-/* Requests have no body. */
+/* Limit of HTTP bodies; requests for counters have none. */
 #define BODY_MAX_BYTES 1024
 
 struct metrics_page {
--- a/src/process/flow/metrics_page.h
+++ b/src/process/flow/metrics_page.h
@@ -2,8 +2,8 @@
 #define DAMASKYARD_METRICS_PAGE_H
 
 /*
- * A process's counters over HTTP, for whoever watches it: GET /metrics gives
- * one line "NAME VALUE" for each.
+ * A process's counters over HTTP, for monitoring: GET /metrics returns one line
+ * "NAME VALUE" per counter.
  */
 
 #include "damaskyard/http.h"
--- a/src/process/isolation.c
+++ b/src/process/isolation.c
@@ -2,62 +2,65 @@
 
 #include <string.h>
 
-void dy_contact_init(dy_contact_t *contact)
+void dy_isolation_init(dy_isolation_t *isolation)
 {
-	memset(contact, 0, sizeof(*contact));
+	memset(isolation, 0, sizeof(*isolation));
 }
 
-void dy_contact_note_heard(dy_contact_t *contact)
+void dy_isolation_record_received(dy_isolation_t *isolation)
 {
-	contact->heard[contact->at]++;
-	contact->quiet_ticks = 0;
-	contact->asked = 0;
-	contact->cut_off = 0;
+	isolation->received[isolation->tick_index]++;
+	isolation->silent_ticks = 0;
+	isolation->waiting = 0;
+	isolation->cut_off = 0;
 }
 
-void dy_contact_note_asked(dy_contact_t *contact)
+void dy_isolation_record_sent(dy_isolation_t *isolation)
 {
-	if (contact->asked)
+	if (isolation->waiting)
 		return;
-	contact->asked = 1;
-	contact->asked_ticks = 0;
+	isolation->waiting = 1;
+	isolation->waiting_ticks = 0;
 	/*
-	 * Guards against callers that come after a pause: nobody reported
-	 * during it, and the pace of before it would make the first agent's
-	 * 200 ms a silence.
+	 * After a pause of the callers the old rate does not apply, because no
+	 * agent reported during the pause. With the old rate, the 200 ms until
+	 * the first agent reports would count as isolation.
 	 */
-	if (contact->quiet_ticks > DY_CONTACT_TICKS)
-		contact->pace = 0;
+	if (isolation->silent_ticks > DY_ISOLATION_WINDOW_TICKS)
+		isolation->rate = 0;
 }
 
-static unsigned sum_heard(const dy_contact_t *contact)
+static unsigned sum_received(const dy_isolation_t *isolation)
 {
 	unsigned sum = 0;
 	unsigned i;
 
-	for (i = 0; i < DY_CONTACT_TICKS; i++)
-		sum += contact->heard[i];
+	for (i = 0; i < DY_ISOLATION_WINDOW_TICKS; i++)
+		sum += isolation->received[i];
 	return sum;
 }
 
-void dy_contact_tick(dy_contact_t *contact)
+void dy_isolation_tick(dy_isolation_t *isolation)
 {
 	unsigned missing;
 
-	/* A silence must not lower the pace that it is measured by. */
-	if (!contact->quiet_ticks)
-		contact->pace = sum_heard(contact);
-	contact->at = (contact->at + 1) % DY_CONTACT_TICKS;
-	contact->heard[contact->at] = 0;
-	contact->quiet_ticks++;
-	contact->asked_ticks++;
-	missing = contact->pace * contact->asked_ticks / DY_CONTACT_TICKS;
-	if (contact->asked && contact->asked_ticks >= DY_CONTACT_QUIET_TICKS &&
-	    missing >= DY_CONTACT_MISSING)
-		contact->cut_off = 1;
+	/* The silence itself must not lower the rate it is compared with. */
+	if (!isolation->silent_ticks)
+		isolation->rate = sum_received(isolation);
+	isolation->tick_index =
+		(isolation->tick_index + 1) % DY_ISOLATION_WINDOW_TICKS;
+	isolation->received[isolation->tick_index] = 0;
+	isolation->silent_ticks++;
+	isolation->waiting_ticks++;
+	missing = isolation->rate * isolation->waiting_ticks /
+		  DY_ISOLATION_WINDOW_TICKS;
+	if (isolation->waiting &&
+	    isolation->waiting_ticks >= DY_ISOLATION_MIN_SILENT_TICKS &&
+	    missing >= DY_ISOLATION_MIN_MISSING)
+		isolation->cut_off = 1;
 }
 
-int dy_contact_is_cut_off(const dy_contact_t *contact)
+int dy_isolation_is_cut_off(const dy_isolation_t *isolation)
 {
-	return contact->cut_off;
+	return isolation->cut_off;
 }
--- a/tests/test_flow_settings.c
+++ b/tests/test_flow_settings.c
@@ -24,7 +24,7 @@
 #define TARGET "[target]\naddress=10.0.0.1:84\nservice=a\n"
 #define GROUP "[group]\nseeds=10.0.0.2:82,10.0.0.3:82\n"
 
-START_TEST(settings_of_each_role_are_taken)
+START_TEST(loads_settings_of_each_role)
 {
 	static const unsigned ports[] = { 7001, 7002, 7000 };
 	dy_flow_settings_t settings;
@@ -46,8 +46,11 @@
 }
 END_TEST
 
-/* A platform renders what it has not as nothing, and adds what is new. */
-START_TEST(empty_values_are_none_and_unknown_keys_pass)
+/*
+ * A platform renders a missing value as an empty one, and may add keys that
+ * this build does not know.
+ */
+START_TEST(treats_empty_values_as_missing_and_ignores_unknown_keys)
 {
 	dy_flow_settings_t settings;
 
@@ -67,13 +70,12 @@
 }
 END_TEST
 
-/* A wrong value names itself and what is allowed. */
-START_TEST(wrong_values_are_refused)
+START_TEST(refuses_invalid_values_naming_the_key)
 {
 	static const struct {
 		const char *from;
 		const char *to;
-		const char *names;
+		const char *key;
 	} changes[] = {
 		{ "name=n1\n", "", "name" },
 		{ "packets=10.0.0.1:80", "packets=host:80", "packets" },
@@ -102,7 +104,7 @@
 		write_settings(text);
 		ck_assert(!dy_flow_settings_load(&settings, path, DY_FLOW_AGENT,
 						 &error));
-		ck_assert_ptr_nonnull(strstr(error->message, changes[i].names));
+		ck_assert_ptr_nonnull(strstr(error->message, changes[i].key));
 		g_clear_error(&error);
 		dy_flow_settings_clear(&settings);
 		g_free(text);
@@ -111,27 +113,30 @@
 }
 END_TEST
 
-/* Seeds are exchanged while the process runs; then the file is half written. */
-START_TEST(changed_seeds_are_taken_and_broken_files_are_not)
+/* Seeds change while the process runs; then the file is only half written. */
+START_TEST(reloads_changed_seeds_and_keeps_them_if_file_is_broken)
 {
 	dy_flow_settings_t settings;
 
 	dy_log_configure(DY_LOG_ERROR, NULL);
 	write_settings(PROCESS LISTEN TARGET GROUP);
 	ck_assert(dy_flow_settings_load(&settings, path, DY_FLOW_AGENT, NULL));
-	ck_assert(!dy_flow_settings_refresh(&settings, path));
+	ck_assert(!dy_flow_settings_reload_seeds(&settings, path));
 	write_settings(PROCESS LISTEN TARGET "[group]\nseeds=10.0.0.9:82\n");
-	ck_assert(dy_flow_settings_refresh(&settings, path));
+	ck_assert(dy_flow_settings_reload_seeds(&settings, path));
 	ck_assert_int_eq(settings.seeds.count, 1);
 	write_settings(PROCESS "[group]\nseeds=");
-	ck_assert(!dy_flow_settings_refresh(&settings, path));
+	ck_assert(!dy_flow_settings_reload_seeds(&settings, path));
 	ck_assert_int_eq(settings.seeds.count, 1);
 	dy_flow_settings_clear(&settings);
 }
 END_TEST
 
-/* A domain that no member names yet could not be evacuated. */
-START_TEST(failure_domains_are_told)
+/*
+ * Without the list, a failure domain could not be evacuated before a member
+ * has joined from it.
+ */
+START_TEST(loads_list_of_failure_domains)
 {
 	dy_flow_settings_t settings;
 
@@ -148,11 +153,11 @@
 int main(void)
 {
 	const TTest *const tests[] = {
-		settings_of_each_role_are_taken,
-		empty_values_are_none_and_unknown_keys_pass,
-		wrong_values_are_refused,
-		changed_seeds_are_taken_and_broken_files_are_not,
-		failure_domains_are_told,
+		loads_settings_of_each_role,
+		treats_empty_values_as_missing_and_ignores_unknown_keys,
+		refuses_invalid_values_naming_the_key,
+		reloads_changed_seeds_and_keeps_them_if_file_is_broken,
+		loads_list_of_failure_domains,
 		NULL,
 	};
 
--- a/tests/test_isolation.c
+++ b/tests/test_isolation.c
@@ -4,145 +4,151 @@
 
 #include "fake_suite.h"
 
-static dy_contact_t contact;
+static dy_isolation_t isolation;
 
-/* Ticks in which so many messages come, and packets are sent. */
-static void speak(unsigned ticks, unsigned messages)
+/* Run ticks with that many messages each, while packets are sent. */
+static void run_with_messages(unsigned ticks, unsigned messages)
 {
 	unsigned i;
 
 	while (ticks--) {
-		dy_contact_note_asked(&contact);
+		dy_isolation_record_sent(&isolation);
 		for (i = 0; i < messages; i++)
-			dy_contact_note_heard(&contact);
-		dy_contact_tick(&contact);
+			dy_isolation_record_received(&isolation);
+		dy_isolation_tick(&isolation);
 	}
 }
 
-/* Ticks without a message until the process is cut off, at most max. */
-static unsigned fall_silent(unsigned max)
+/*
+ * Run ticks without a message, while packets are sent, until the process is cut
+ * off. Returns their number, max at most.
+ */
+static unsigned run_silent(unsigned max)
 {
 	unsigned ticks = 0;
 
-	while (ticks < max && !dy_contact_is_cut_off(&contact)) {
-		dy_contact_note_asked(&contact);
-		dy_contact_tick(&contact);
+	while (ticks < max && !dy_isolation_is_cut_off(&isolation)) {
+		dy_isolation_record_sent(&isolation);
+		dy_isolation_tick(&isolation);
 		ticks++;
 	}
 	return ticks;
 }
 
 /*
- * The VM of a balancer is cut off from all others, and the fabric goes on
- * handing it packets: callers wait until they give up. Ten agents that report
- * five times a second fall silent at once, which nothing else explains.
+ * The VM of a balancer is cut off from all others while the fabric keeps
+ * sending it packets, so callers wait until they time out. Ten agents that
+ * report five times a second fall silent at once, which nothing else explains.
  */
-START_TEST(silence_of_all_is_told_within_half_a_second)
+START_TEST(detects_silence_of_all_agents_within_500_ms)
 {
-	dy_contact_init(&contact);
-	speak(20, 5);
-	ck_assert_uint_le(fall_silent(100) * DY_CONTACT_TICK_MS, 500);
-	ck_assert(dy_contact_is_cut_off(&contact));
+	dy_isolation_init(&isolation);
+	run_with_messages(20, 5);
+	ck_assert_uint_le(run_silent(100) * DY_ISOLATION_TICK_MS, 500);
+	ck_assert(dy_isolation_is_cut_off(&isolation));
 }
 END_TEST
 
-/* The cut heals: one message is enough. */
-START_TEST(one_message_ends_it)
+/* The network recovers. */
+START_TEST(ends_with_first_message)
 {
-	dy_contact_init(&contact);
-	speak(20, 5);
-	fall_silent(100);
-	dy_contact_note_heard(&contact);
-	ck_assert(!dy_contact_is_cut_off(&contact));
+	dy_isolation_init(&isolation);
+	run_with_messages(20, 5);
+	run_silent(100);
+	dy_isolation_record_received(&isolation);
+	ck_assert(!dy_isolation_is_cut_off(&isolation));
 }
 END_TEST
 
 /*
- * A link loses half of all packets for a minute. Taking that for a cut would
- * send the fabric back and forth between the balancers.
+ * A link loses half of all packets for a minute. If that counted as isolation,
+ * the fabric would switch back and forth between the balancers.
  */
-START_TEST(loss_is_no_cut)
+START_TEST(is_not_detected_under_half_packet_loss)
 {
 	GRand *random = g_rand_new_with_seed(5);
 	unsigned agents = 10;
-	unsigned cut = 0;
+	unsigned cut_off_ticks = 0;
 	unsigned tick;
 	unsigned i;
 
-	dy_contact_init(&contact);
+	dy_isolation_init(&isolation);
 	for (tick = 0; tick < 600; tick++) {
-		dy_contact_note_asked(&contact);
+		dy_isolation_record_sent(&isolation);
 		for (i = tick % 2; i < agents; i += 2)
 			if (g_rand_boolean(random))
-				dy_contact_note_heard(&contact);
-		dy_contact_tick(&contact);
-		cut += dy_contact_is_cut_off(&contact);
+				dy_isolation_record_received(&isolation);
+		dy_isolation_tick(&isolation);
+		cut_off_ticks += dy_isolation_is_cut_off(&isolation);
 	}
-	ck_assert_uint_eq(cut, 0);
+	ck_assert_uint_eq(cut_off_ticks, 0);
 	g_rand_free(random);
 }
 END_TEST
 
-/* One agent and its five reports a second: few are missing in half a second. */
-START_TEST(few_messages_take_longer)
+/*
+ * With a single agent, which reports five times a second, few messages are
+ * missing in half a second.
+ */
+START_TEST(takes_longer_with_few_messages)
 {
 	unsigned ticks;
 	unsigned i;
 
-	dy_contact_init(&contact);
+	dy_isolation_init(&isolation);
 	for (i = 0; i < 10; i++) {
-		speak(1, 1);
-		dy_contact_note_asked(&contact);
-		dy_contact_tick(&contact);
+		run_with_messages(1, 1);
+		dy_isolation_record_sent(&isolation);
+		dy_isolation_tick(&isolation);
 	}
-	ticks = fall_silent(100);
-	ck_assert_uint_ge(ticks * DY_CONTACT_TICK_MS, 2000);
-	ck_assert(dy_contact_is_cut_off(&contact));
+	ticks = run_silent(100);
+	ck_assert_uint_ge(ticks * DY_ISOLATION_TICK_MS, 2000);
+	ck_assert(dy_isolation_is_cut_off(&isolation));
 }
 END_TEST
 
 /*
- * Callers pause while control is away: nobody has a reason to speak. With the
- * first packet after the pause an agent needs its time to report.
+ * Callers pause while the controls are away, so no process sends messages.
+ * After the first packet of the next caller, the agent takes a while to report.
  */
-START_TEST(pause_of_callers_is_no_cut)
+START_TEST(is_not_detected_after_pause_of_callers)
 {
 	unsigned i;
 
-	dy_contact_init(&contact);
-	speak(20, 5);
+	dy_isolation_init(&isolation);
+	run_with_messages(20, 5);
 	for (i = 0; i < 50; i++)
-		dy_contact_tick(&contact);
-	ck_assert(!dy_contact_is_cut_off(&contact));
-	ck_assert_uint_eq(fall_silent(50), 50);
-	ck_assert(!dy_contact_is_cut_off(&contact));
+		dy_isolation_tick(&isolation);
+	ck_assert(!dy_isolation_is_cut_off(&isolation));
+	ck_assert_uint_eq(run_silent(50), 50);
+	ck_assert(!dy_isolation_is_cut_off(&isolation));
 }
 END_TEST
 
 /*
- * The VM stands still for seconds. When it goes on, its timer is due before
- * the messages that wait are read: that is one quiet tick.
+ * The VM is suspended for seconds. When it resumes, the timer fires before the
+ * queued messages are read: one silent tick.
  */
-START_TEST(process_that_stood_still_is_not_cut_off)
+START_TEST(is_not_detected_after_process_was_suspended)
 {
-	dy_contact_init(&contact);
-	speak(20, 5);
-	dy_contact_tick(&contact);
-	ck_assert(!dy_contact_is_cut_off(&contact));
-	speak(1, 50);
-	ck_assert(!dy_contact_is_cut_off(&contact));
+	dy_isolation_init(&isolation);
+	run_with_messages(20, 5);
+	dy_isolation_tick(&isolation);
+	ck_assert(!dy_isolation_is_cut_off(&isolation));
+	run_with_messages(1, 50);
+	ck_assert(!dy_isolation_is_cut_off(&isolation));
 }
 END_TEST
 
 int main(void)
 {
 	const TTest *const tests[] = {
-		silence_of_all_is_told_within_half_a_second,
-		one_message_ends_it,
-		loss_is_no_cut,
-		few_messages_take_longer,
-		pause_of_callers_is_no_cut,
-		process_that_stood_still_is_not_cut_off,
+		detects_silence_of_all_agents_within_500_ms,
+		ends_with_first_message,
+		is_not_detected_under_half_packet_loss,
+		takes_longer_with_few_messages,
+		is_not_detected_after_pause_of_callers,
+		is_not_detected_after_process_was_suspended,
 		NULL,
 	};
 
