--- a/src/process/command/member_settings.h
+++ b/src/process/command/member_settings.h
@@ -27,7 +27,7 @@
 		{ .flag = "environment",                                   \
 		  .kind = DY_SETTING_CHOICE,                               \
 		  .value = &(member).environment,                          \
-		  .fallback = "production",                                \
+		  .default_text = "production",                            \
 		  .argument = DY_ENVIRONMENT_CHOICES,                      \
 		  .help = "where it serves; production if not given" },    \
 		{ .flag = "domain",                                        \
@@ -56,7 +56,7 @@
 		  .help = "the group's key" },                             \
 	{                                                                  \
 		.flag = "log-level", .kind = DY_SETTING_CHOICE,            \
-		.value = &(member).log_level, .fallback = "info",          \
+		.value = &(member).log_level, .default_text = "info",      \
 		.argument = DY_LOG_CHOICES,                                \
 		.help = "least level that is logged"                       \
 	}
--- a/src/process/command/operator.c
+++ b/src/process/command/operator.c
@@ -133,8 +133,8 @@
 static int try_call(operator_t *op, const dy_address_t *to,
 		    const operator_call_t *call, void *result)
 {
-	dy_seal_head_t head = { dy_seal_next_xid(op->seal), call->program,
-				call->procedure };
+	dy_seal_header_t head = { dy_seal_next_xid(op->seal), call->program,
+				  call->procedure };
 	uint8_t out[CALL_BYTES];
 	size_t len;
 
--- a/src/process/command/operator.h
+++ b/src/process/command/operator.h
@@ -31,29 +31,29 @@
  * Flags of every operator's command; a part of its table of settings.
  * needs_controls: whether --controls must be given.
  */
-#define OPERATOR_SETTINGS(needs_controls)                                  \
-	{ .flag = "controls",                                              \
-	  .kind = DY_SETTING_ADDRESSES_LIST,                               \
-	  .value = &operator_values.controls,                              \
-	  .required = (needs_controls),                                    \
-	  .argument = "IP:PORT,...",                                       \
-	  .help = "the control group" },                                   \
-		{ .flag = "key-file",                                      \
-		  .kind = DY_SETTING_TEXT,                                 \
-		  .value = &operator_values.key_file,                      \
-		  .required = TRUE,                                        \
-		  .argument = "FILE",                                      \
-		  .help = "the group's key" },                             \
-		{ .flag = "operator",                                      \
-		  .kind = DY_SETTING_NAME,                                 \
-		  .value = &operator_values.name,                          \
-		  .argument = "NAME",                                      \
-		  .help = "who does it; else the user's name" },           \
-	{                                                                  \
-		.flag = "timeout-ms", .kind = DY_SETTING_NUMBER,           \
-		.value = &operator_values.timeout_ms, .fallback = "10000", \
-		.least = 100, .most = 600000, .argument = "MS",            \
-		.help = "give up after so long without an answer"          \
+#define OPERATOR_SETTINGS(needs_controls)                                      \
+	{ .flag = "controls",                                                  \
+	  .kind = DY_SETTING_ADDRESSES_LIST,                                   \
+	  .value = &operator_values.controls,                                  \
+	  .required = (needs_controls),                                        \
+	  .argument = "IP:PORT,...",                                           \
+	  .help = "the control group" },                                       \
+		{ .flag = "key-file",                                          \
+		  .kind = DY_SETTING_TEXT,                                     \
+		  .value = &operator_values.key_file,                          \
+		  .required = TRUE,                                            \
+		  .argument = "FILE",                                          \
+		  .help = "the group's key" },                                 \
+		{ .flag = "operator",                                          \
+		  .kind = DY_SETTING_NAME,                                     \
+		  .value = &operator_values.name,                              \
+		  .argument = "NAME",                                          \
+		  .help = "who does it; else the user's name" },               \
+	{                                                                      \
+		.flag = "timeout-ms", .kind = DY_SETTING_NUMBER,               \
+		.value = &operator_values.timeout_ms, .default_text = "10000", \
+		.min = 100, .max = 600000, .argument = "MS",                   \
+		.help = "give up after so long without an answer"              \
 	}
 
 /* The flag of every command that makes a change, beside those above. */
--- a/tests/test_http.c
+++ b/tests/test_http.c
@@ -60,7 +60,7 @@
 	fixture.loop = dy_loop_create(fixture.metrics);
 	dy_loop_every(fixture.loop, 5, on_tick, NULL);
 	dy_address_parse("127.0.0.1:0", &config.listen);
-	config.body_max = BODY_MAX;
+	config.body_max_bytes = BODY_MAX;
 	config.handle = on_request;
 	fixture.server = dy_http_server_create(fixture.loop, fixture.metrics,
 					       &config, &error);
