--- a/src/process/flow/cmd_flow_balancer.c
+++ b/src/process/flow/cmd_flow_balancer.c
@@ -52,7 +52,7 @@
 	int has_document;
 	int ready;
 	uint64_t stop_started_ms; /* 0: not stopping */
-	uint64_t last_packet_ms;  /* arrival from a caller */
+	uint64_t last_packet_ms;  /* of a caller */
 	uint64_t *malformed;
 	uint64_t *unready_packets;
 } flow_balancer_t;
--- a/tests/test_http.c
+++ b/tests/test_http.c
@@ -187,8 +187,8 @@
 END_TEST
 
 /*
- * Without the check, a change is applied late although its caller has timed out
- * and sent it elsewhere.
+ * A caller times out and sends its request elsewhere. Without this check the
+ * first server would still apply the request, later.
  */
 START_TEST(reports_exchange_as_abandoned_after_caller_closed)
 {
