--- a/standin/account.c
+++ b/standin/account.c
@@ -1,11 +1,12 @@
 /*
- * Holds what callers were told against what targets stored:
+ * Compares the outcomes that callers recorded with what targets stored:
  *
  *	account --stored FILE [--stored FILE ..] --caller FILE [..]
  *
- * Exits 0 only if every answered reading stands in the targets' files once,
- * none stands there twice, none that was refused as not run stands there,
- * and nothing stands there that was never sent.
+ * Exits with status 0 only if the targets' files hold every answered reading
+ * once, no reading twice, none that was only refused as not run, and none
+ * that was never sent, if no answer was mismatched, and if every sent
+ * reading has an outcome.
  */
 
 #include "common_args.h"
@@ -65,7 +66,8 @@
 		standin_die("unknown event %s", event);
 }
 
-static void load(GHashTable *readings, const char *path, unsigned words_wanted)
+static void load_file(GHashTable *readings, const char *path,
+		      unsigned words_expected)
 {
 	char *text = NULL;
 	GError *error = NULL;
@@ -78,9 +80,9 @@
 	for (i = 0; lines[i] && *lines[i]; i++) {
 		char **words = g_strsplit(lines[i], " ", -1);
 
-		if (g_strv_length(words) != words_wanted)
+		if (g_strv_length(words) != words_expected)
 			standin_die("%s:%u: a malformed line", path, i + 1);
-		if (words_wanted == 4)
+		if (words_expected == 4)
 			add_event(find_reading(readings, words), words[3]);
 		else
 			find_reading(readings, words)->stored++;
@@ -93,10 +95,10 @@
 static void load_all(GHashTable *readings, char **paths, unsigned words)
 {
 	while (paths && *paths)
-		load(readings, *paths++, words);
+		load_file(readings, *paths++, words);
 }
 
-static void judge(void *key, void *value, void *context)
+static void add_reading_to_totals(void *key, void *value, void *context)
 {
 	const reading_t *reading = value;
 	totals_t *totals = context;
@@ -159,7 +161,7 @@
 			      entries);
 	load_all(readings, callers, 4);
 	load_all(readings, stored, 3);
-	g_hash_table_foreach(readings, judge, &totals);
+	g_hash_table_foreach(readings, add_reading_to_totals, &totals);
 	wrong = print_totals(&totals);
 	g_hash_table_destroy(readings);
 	g_strfreev(stored);
--- a/standin/common_args.c
+++ b/standin/common_args.c
@@ -79,7 +79,7 @@
 		   ntohs(address->sin_port));
 }
 
-void standin_print_bound(int fd)
+void standin_print_bound_address(int fd)
 {
 	struct sockaddr_in address;
 	socklen_t length = sizeof(address);
--- a/standin/common_maps.h
+++ b/standin/common_maps.h
@@ -1,16 +1,17 @@
 #ifndef STANDIN_COMMON_MAPS_H
 #define STANDIN_COMMON_MAPS_H
 
-/* The content of maps, the same for the target and for who checks it. */
+/* Content of the stand-in maps, for the target and for the caller. */
 
 #include "standin_maps.h"
 
-/* Pages of every stand-in map. */
+/* Number of pages of every stand-in map. */
 #define STANDIN_MAP_PAGES 16
 
 /*
- * Write page of map name to bytes. Returns its length; a page beyond the map
- * is empty.
+ * Write a page of the map of this name to bytes. The content depends on name
+ * and page alone. Returns the length of the page in bytes, 0 for a page beyond
+ * the map.
  */
 unsigned standin_map_fill(const char *name, unsigned page,
 			  char bytes[STANDIN_PAGE_MAX]);
--- a/standin/common_probe.h
+++ b/standin/common_probe.h
@@ -1,18 +1,24 @@
 #ifndef STANDIN_COMMON_PROBE_H
 #define STANDIN_COMMON_PROBE_H
 
-/* The NULL call by which a fabric learns whether a balancer is ready. */
+/* Readiness probe of a balancer: a call of the NULL procedure. */
 
 #include <stddef.h>
 #include <stdint.h>
 
-/* Bytes that hold any probe. */
+/* Capacity that suffices for a probe. */
 #define STANDIN_PROBE_BYTES 64
 
-/* Write a NULL call of xid to bytes and return its length. */
+/*
+ * Write a NULL call with this xid to bytes. Returns its length, or 0 if it
+ * cannot be encoded.
+ */
 size_t standin_probe_encode(uint32_t xid, char bytes[STANDIN_PROBE_BYTES]);
 
-/* Whether the datagram is a reply that says ready. */
+/*
+ * Return whether the datagram is an accepted reply of status SUCCESS, which
+ * a ready balancer sends. The xid is not checked.
+ */
 int standin_probe_is_ready(char *bytes, size_t length);
 
 #endif
--- a/standin/common_server.c
+++ b/standin/common_server.c
@@ -8,20 +8,20 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-/* Connections that wait to be accepted: one a slot, and some to spare. */
-#define BACKLOG 64
+/* Capacity of the accept queue: one connection per slot, with a reserve. */
+#define LISTEN_BACKLOG 64
 
-typedef struct late_reply {
+typedef struct pending_reply {
 	SVCXPRT *transport;
 	xdrproc_t encode;
 	void *result;
 	uint64_t due_ms;
-} late_reply_t;
+} pending_reply_t;
 
 static struct {
 	standin_call_cb_t call;
 	void *context;
-	GPtrArray *late; /* of late_reply_t */
+	GPtrArray *pending_replies; /* of pending_reply_t */
 } server;
 
 static void dispatch(struct svc_req *request, SVCXPRT *transport)
@@ -31,7 +31,7 @@
 
 static void destroy_reply(void *item)
 {
-	late_reply_t *reply = item;
+	pending_reply_t *reply = item;
 
 	g_free(reply->result);
 	g_free(reply);
@@ -40,13 +40,13 @@
 void standin_server_reply(SVCXPRT *transport, xdrproc_t encode, void *result,
 			  unsigned delay_ms)
 {
-	late_reply_t *reply = g_new0(late_reply_t, 1);
+	pending_reply_t *reply = g_new0(pending_reply_t, 1);
 
 	reply->transport = transport;
 	reply->encode = encode;
 	reply->result = result;
 	reply->due_ms = standin_now_ms() + delay_ms;
-	g_ptr_array_add(server.late, reply);
+	g_ptr_array_add(server.pending_replies, reply);
 }
 
 static int is_closed(int fd)
@@ -57,29 +57,30 @@
 	return !count || (count < 0 && errno != EAGAIN);
 }
 
-static void drop_replies_of(int fd)
+static void drop_replies_on(int fd)
 {
 	unsigned i = 0;
 
-	while (i < server.late->len) {
-		late_reply_t *reply = g_ptr_array_index(server.late, i);
+	while (i < server.pending_replies->len) {
+		pending_reply_t *reply =
+			g_ptr_array_index(server.pending_replies, i);
 
 		if (reply->transport->xp_fd == fd)
-			g_ptr_array_remove_index(server.late, i);
+			g_ptr_array_remove_index(server.pending_replies, i);
 		else
 			i++;
 	}
 }
 
-/* The library frees a closed transport, so its replies must go first. */
-static void drop_replies_of_closed(const struct pollfd *polled, int count)
+/* libtirpc frees a closed transport; free its pending replies before that. */
+static void drop_replies_on_closed(const struct pollfd *polled, int count)
 {
 	int i;
 
 	for (i = 0; i < count; i++)
 		if (polled[i].fd >= 0 && polled[i].revents &&
 		    is_closed(polled[i].fd))
-			drop_replies_of(polled[i].fd);
+			drop_replies_on(polled[i].fd);
 }
 
 static void send_due_replies(void)
@@ -87,26 +88,28 @@
 	uint64_t now_ms = standin_now_ms();
 	unsigned i = 0;
 
-	while (i < server.late->len) {
-		late_reply_t *reply = g_ptr_array_index(server.late, i);
+	while (i < server.pending_replies->len) {
+		pending_reply_t *reply =
+			g_ptr_array_index(server.pending_replies, i);
 
 		if (reply->due_ms > now_ms) {
 			i++;
 			continue;
 		}
 		svc_sendreply(reply->transport, reply->encode, reply->result);
-		g_ptr_array_remove_index(server.late, i);
+		g_ptr_array_remove_index(server.pending_replies, i);
 	}
 }
 
-static int next_timeout_ms(void)
+static int poll_timeout_ms(void)
 {
 	uint64_t now_ms = standin_now_ms();
 	int timeout_ms = -1;
 	unsigned i;
 
-	for (i = 0; i < server.late->len; i++) {
-		late_reply_t *reply = g_ptr_array_index(server.late, i);
+	for (i = 0; i < server.pending_replies->len; i++) {
+		pending_reply_t *reply =
+			g_ptr_array_index(server.pending_replies, i);
 		int left_ms = reply->due_ms > now_ms
 				      ? (int)(reply->due_ms - now_ms)
 				      : 0;
@@ -125,11 +128,11 @@
 		int ready;
 
 		memcpy(polled, svc_pollfd, count * sizeof(*polled));
-		ready = poll(polled, count, next_timeout_ms());
+		ready = poll(polled, count, poll_timeout_ms());
 		if (ready < 0 && errno != EINTR)
 			standin_die("poll: %s", g_strerror(errno));
 		if (ready > 0) {
-			drop_replies_of_closed(polled, count);
+			drop_replies_on_closed(polled, count);
 			svc_getreq_poll(polled, ready);
 		}
 		send_due_replies();
@@ -146,7 +149,7 @@
 	if (fd < 0 ||
 	    setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &yes, sizeof(yes)) ||
 	    bind(fd, (struct sockaddr *)&address, sizeof(address)) ||
-	    listen(fd, BACKLOG))
+	    listen(fd, LISTEN_BACKLOG))
 		standin_die("%s: %s", text, g_strerror(errno));
 	return fd;
 }
@@ -160,10 +163,10 @@
 
 	server.call = call;
 	server.context = context;
-	server.late = g_ptr_array_new_with_free_func(destroy_reply);
+	server.pending_replies = g_ptr_array_new_with_free_func(destroy_reply);
 	signal(SIGPIPE, SIG_IGN);
 	if (!transport || !svc_reg(transport, program, version, dispatch, NULL))
 		standin_die("%s can't be served", listen_text);
-	standin_print_bound(fd);
+	standin_print_bound_address(fd);
 	serve();
 }
--- a/standin/fabric.c
+++ b/standin/fabric.c
@@ -1,7 +1,8 @@
 /*
- * The network between callers and balancers: hands every datagram to any of
- * the balancers, and may lose, double or reorder it. It keeps one socket a
- * caller, so that an answer finds back whichever balancer sends it.
+ * Simulates the network between callers and balancers. It forwards every
+ * datagram of a caller to a randomly chosen balancer, and can lose, duplicate
+ * or reorder datagrams. It opens one socket per caller, so that an answer from
+ * any balancer reaches the right caller.
  */
 
 #include "common_args.h"
@@ -10,22 +11,22 @@
 #include <string.h>
 #include <uv.h>
 
-/* A NULL probe goes to each balancer this often... */
-#define PROBE_MS 200
-/* ...and one that was not answered for this long is passed over. */
-#define SILENT_MS 1000
-/* A reordered datagram is held for up to this long. */
-#define REORDER_MS 20
-#define DATAGRAM_BYTES 65536
+/* Interval of the NULL probes to each balancer. */
+#define PROBE_INTERVAL_MS 200
+/* A balancer without a ready answer for this time gets no calls. */
+#define PROBE_TIMEOUT_MS 1000
+/* Longest delay of a reordered datagram. */
+#define REORDER_DELAY_MAX_MS 20
+#define DATAGRAM_MAX_BYTES 65536
 
 typedef struct balancer {
 	struct sockaddr_in address;
-	uint64_t ready_ms;
+	uint64_t last_ready_ms;
 } balancer_t;
 
 typedef struct fabric {
-	uv_udp_t front;
-	uv_udp_t probes;
+	uv_udp_t caller_socket;
+	uv_udp_t probe_socket;
 	uv_timer_t probe_timer;
 	GRand *rand;
 	balancer_t *balancers;
@@ -33,11 +34,11 @@
 	GHashTable *upstreams;
 	uint32_t probe_xid;
 	char *balancers_file;
-	char *balancers_text;
-	int probing;
-	int lose;
-	int duplicate;
-	int reorder;
+	char *balancers_list;
+	int probe_enabled;
+	int loss_percent;
+	int duplicate_percent;
+	int reorder_percent;
 } fabric_t;
 
 typedef struct upstream {
@@ -47,22 +48,22 @@
 	gint64 key;
 } upstream_t;
 
-typedef struct held {
+typedef struct delayed_datagram {
 	uv_timer_t timer;
 	uv_udp_t *socket;
-	struct sockaddr_in to;
+	struct sockaddr_in destination;
 	size_t length;
 	char bytes[];
-} held_t;
+} delayed_datagram_t;
 
-static char buffer[DATAGRAM_BYTES];
+static char buffer[DATAGRAM_MAX_BYTES];
 
 static void allocate(uv_handle_t *handle, size_t size, uv_buf_t *buf)
 {
 	*buf = uv_buf_init(buffer, sizeof(buffer));
 }
 
-static void must(int status, const char *what)
+static void die_on_error(int status, const char *what)
 {
 	if (status < 0)
 		standin_die("%s: %s", what, uv_strerror(status));
@@ -72,14 +73,14 @@
 {
 	struct sockaddr_in address = standin_parse_address(text);
 
-	must(uv_udp_init(uv_default_loop(), socket), "udp");
-	must(uv_udp_bind(socket, (struct sockaddr *)&address, 0), text);
-	must(uv_udp_recv_start(socket, allocate, cb), text);
+	die_on_error(uv_udp_init(uv_default_loop(), socket), "udp");
+	die_on_error(uv_udp_bind(socket, (struct sockaddr *)&address, 0), text);
+	die_on_error(uv_udp_recv_start(socket, allocate, cb), text);
 }
 
-/* A full socket buffer loses the datagram, as a network would. */
-static void send_now(uv_udp_t *socket, const struct sockaddr_in *to,
-		     char *bytes, size_t length)
+/* Drops the datagram if the socket buffer is full, as a network does. */
+static void send_datagram(uv_udp_t *socket, const struct sockaddr_in *to,
+			  char *bytes, size_t length)
 {
 	uv_buf_t buf = uv_buf_init(bytes, length);
 
@@ -91,42 +92,45 @@
 	g_free(handle->data);
 }
 
-static void release(uv_timer_t *timer)
+static void on_delay_expired(uv_timer_t *timer)
 {
-	held_t *held = timer->data;
+	delayed_datagram_t *delayed = timer->data;
 
-	send_now(held->socket, &held->to, held->bytes, held->length);
+	send_datagram(delayed->socket, &delayed->destination, delayed->bytes,
+		      delayed->length);
 	uv_close((uv_handle_t *)timer, free_handle);
 }
 
-static void hold(fabric_t *fabric, uv_udp_t *socket,
-		 const struct sockaddr_in *to, const char *bytes, size_t length)
+static void send_delayed(fabric_t *fabric, uv_udp_t *socket,
+			 const struct sockaddr_in *to, const char *bytes,
+			 size_t length)
 {
-	held_t *held = g_malloc0(sizeof(*held) + length);
-
-	held->socket = socket;
-	held->to = *to;
-	held->length = length;
-	memcpy(held->bytes, bytes, length);
-	held->timer.data = held;
-	uv_timer_init(uv_default_loop(), &held->timer);
-	uv_timer_start(&held->timer, release,
-		       g_rand_int_range(fabric->rand, 1, REORDER_MS + 1), 0);
+	delayed_datagram_t *delayed = g_malloc0(sizeof(*delayed) + length);
+
+	delayed->socket = socket;
+	delayed->destination = *to;
+	delayed->length = length;
+	memcpy(delayed->bytes, bytes, length);
+	delayed->timer.data = delayed;
+	uv_timer_init(uv_default_loop(), &delayed->timer);
+	uv_timer_start(
+		&delayed->timer, on_delay_expired,
+		g_rand_int_range(fabric->rand, 1, REORDER_DELAY_MAX_MS + 1), 0);
 }
 
-static int chance(fabric_t *fabric, int percent)
+static int draw_percent(fabric_t *fabric, int percent)
 {
 	return percent && g_rand_int_range(fabric->rand, 0, 100) < percent;
 }
 
 static int is_ready(const fabric_t *fabric, const balancer_t *balancer)
 {
-	return !fabric->probing ||
-	       standin_now_ms() < balancer->ready_ms + SILENT_MS;
+	return !fabric->probe_enabled ||
+	       standin_now_ms() < balancer->last_ready_ms + PROBE_TIMEOUT_MS;
 }
 
-/* With no balancer ready any will do: it refuses by itself. */
-static const struct sockaddr_in *pick(fabric_t *fabric)
+/* If no balancer is ready, chooses any; that balancer refuses the call. */
+static const struct sockaddr_in *choose_balancer(fabric_t *fabric)
 {
 	unsigned ready = 0;
 	unsigned chosen;
@@ -145,32 +149,36 @@
 	return &fabric->balancers[ready ? i : chosen].address;
 }
 
-/* to is NULL for a datagram on its way to any balancer. */
-static void carry(fabric_t *fabric, uv_udp_t *socket,
-		  const struct sockaddr_in *to, char *bytes, size_t length)
+/* If to is NULL, each copy of the datagram goes to a random balancer. */
+static void forward_datagram(fabric_t *fabric, uv_udp_t *socket,
+			     const struct sockaddr_in *to, char *bytes,
+			     size_t length)
 {
-	int copies = chance(fabric, fabric->duplicate) ? 2 : 1;
+	int copies = draw_percent(fabric, fabric->duplicate_percent) ? 2 : 1;
 
-	if (chance(fabric, fabric->lose))
+	if (draw_percent(fabric, fabric->loss_percent))
 		return;
 	while (copies--) {
-		const struct sockaddr_in *target = to ? to : pick(fabric);
+		const struct sockaddr_in *destination =
+			to ? to : choose_balancer(fabric);
 
-		if (chance(fabric, fabric->reorder))
-			hold(fabric, socket, target, bytes, length);
+		if (draw_percent(fabric, fabric->reorder_percent))
+			send_delayed(fabric, socket, destination, bytes,
+				     length);
 		else
-			send_now(socket, target, bytes, length);
+			send_datagram(socket, destination, bytes, length);
 	}
 }
 
-static void take_answer(uv_udp_t *socket, ssize_t count, const uv_buf_t *buf,
-			const struct sockaddr *from, unsigned flags)
+static void on_answer(uv_udp_t *socket, ssize_t count, const uv_buf_t *buf,
+		      const struct sockaddr *from, unsigned flags)
 {
 	upstream_t *upstream = socket->data;
 
 	if (count > 0 && from)
-		carry(upstream->fabric, &upstream->fabric->front,
-		      &upstream->caller, buf->base, count);
+		forward_datagram(upstream->fabric,
+				 &upstream->fabric->caller_socket,
+				 &upstream->caller, buf->base, count);
 }
 
 static upstream_t *find_upstream(fabric_t *fabric,
@@ -185,14 +193,14 @@
 	upstream->fabric = fabric;
 	upstream->caller = *caller;
 	upstream->key = key;
-	open_socket(&upstream->socket, "127.0.0.1:0", take_answer);
+	open_socket(&upstream->socket, "127.0.0.1:0", on_answer);
 	upstream->socket.data = upstream;
 	g_hash_table_insert(fabric->upstreams, &upstream->key, upstream);
 	return upstream;
 }
 
-static void take_call(uv_udp_t *socket, ssize_t count, const uv_buf_t *buf,
-		      const struct sockaddr *from, unsigned flags)
+static void on_call(uv_udp_t *socket, ssize_t count, const uv_buf_t *buf,
+		    const struct sockaddr *from, unsigned flags)
 {
 	fabric_t *fabric = socket->data;
 	upstream_t *upstream;
@@ -200,7 +208,7 @@
 	if (count <= 0 || !from)
 		return;
 	upstream = find_upstream(fabric, (const struct sockaddr_in *)from);
-	carry(fabric, &upstream->socket, NULL, buf->base, count);
+	forward_datagram(fabric, &upstream->socket, NULL, buf->base, count);
 }
 
 static int same_address(const struct sockaddr_in *one,
@@ -210,8 +218,8 @@
 	       one->sin_addr.s_addr == other->sin_addr.s_addr;
 }
 
-static void take_probe(uv_udp_t *socket, ssize_t count, const uv_buf_t *buf,
-		       const struct sockaddr *from, unsigned flags)
+static void on_probe_reply(uv_udp_t *socket, ssize_t count, const uv_buf_t *buf,
+			   const struct sockaddr *from, unsigned flags)
 {
 	const struct sockaddr_in *address = (const struct sockaddr_in *)from;
 	fabric_t *fabric = socket->data;
@@ -224,13 +232,14 @@
 
 		if (!same_address(&balancer->address, address))
 			continue;
-		balancer->ready_ms = standin_probe_is_ready(buf->base, count)
-					     ? standin_now_ms()
-					     : 0;
+		balancer->last_ready_ms =
+			standin_probe_is_ready(buf->base, count)
+				? standin_now_ms()
+				: 0;
 	}
 }
 
-/* A balancer that stays in the list stays ready. */
+/* A balancer that is in both the old and the new list stays ready. */
 static void set_balancers(fabric_t *fabric, const char *text)
 {
 	balancer_t *old = fabric->balancers;
@@ -245,13 +254,14 @@
 		fabric->balancers[i].address = addresses[i];
 		for (j = 0; j < old_count; j++)
 			if (same_address(&old[j].address, &addresses[i]))
-				fabric->balancers[i].ready_ms = old[j].ready_ms;
+				fabric->balancers[i].last_ready_ms =
+					old[j].last_ready_ms;
 	}
 	g_free(addresses);
 	g_free(old);
 }
 
-/* The file is replaced whole whenever a balancer comes or goes. */
+/* The file is replaced atomically whenever a balancer starts or ends. */
 static void reload_balancers(fabric_t *fabric)
 {
 	char *text = NULL;
@@ -260,13 +270,13 @@
 	    !g_file_get_contents(fabric->balancers_file, &text, NULL, NULL))
 		return;
 	g_strstrip(text);
-	if (g_strcmp0(text, fabric->balancers_text))
+	if (g_strcmp0(text, fabric->balancers_list))
 		set_balancers(fabric, text);
-	g_free(fabric->balancers_text);
-	fabric->balancers_text = text;
+	g_free(fabric->balancers_list);
+	fabric->balancers_list = text;
 }
 
-static void probe(uv_timer_t *timer)
+static void on_probe_timer(uv_timer_t *timer)
 {
 	fabric_t *fabric = timer->data;
 	char bytes[STANDIN_PROBE_BYTES];
@@ -275,8 +285,8 @@
 
 	reload_balancers(fabric);
 	for (i = 0; i < fabric->balancers_count; i++)
-		send_now(&fabric->probes, &fabric->balancers[i].address, bytes,
-			 length);
+		send_datagram(&fabric->probe_socket,
+			      &fabric->balancers[i].address, bytes, length);
 }
 
 static void start(fabric_t *fabric, const char *listen_text)
@@ -284,17 +294,20 @@
 	uv_os_fd_t fd;
 
 	fabric->upstreams = g_hash_table_new(g_int64_hash, g_int64_equal);
-	open_socket(&fabric->front, listen_text, take_call);
-	fabric->front.data = fabric;
-	if (fabric->probing) {
-		open_socket(&fabric->probes, "127.0.0.1:0", take_probe);
-		fabric->probes.data = fabric;
+	open_socket(&fabric->caller_socket, listen_text, on_call);
+	fabric->caller_socket.data = fabric;
+	if (fabric->probe_enabled) {
+		open_socket(&fabric->probe_socket, "127.0.0.1:0",
+			    on_probe_reply);
+		fabric->probe_socket.data = fabric;
 		uv_timer_init(uv_default_loop(), &fabric->probe_timer);
 		fabric->probe_timer.data = fabric;
-		uv_timer_start(&fabric->probe_timer, probe, 0, PROBE_MS);
+		uv_timer_start(&fabric->probe_timer, on_probe_timer, 0,
+			       PROBE_INTERVAL_MS);
 	}
-	must(uv_fileno((uv_handle_t *)&fabric->front, &fd), listen_text);
-	standin_print_bound(fd);
+	die_on_error(uv_fileno((uv_handle_t *)&fabric->caller_socket, &fd),
+		     listen_text);
+	standin_print_bound_address(fd);
 }
 
 int main(int argc, char **argv)
@@ -311,14 +324,15 @@
 		{ "balancers-file", 0, 0, G_OPTION_ARG_FILENAME,
 		  &fabric.balancers_file,
 		  "File of that list, read again while running", "FILE" },
-		{ "probe", 0, 0, G_OPTION_ARG_NONE, &fabric.probing,
+		{ "probe", 0, 0, G_OPTION_ARG_NONE, &fabric.probe_enabled,
 		  "Pass over balancers that are unready or silent", NULL },
 		{ "seed", 0, 0, G_OPTION_ARG_INT, &seed, "Seed", "N" },
-		{ "lose", 0, 0, G_OPTION_ARG_INT, &fabric.lose,
+		{ "lose", 0, 0, G_OPTION_ARG_INT, &fabric.loss_percent,
 		  "Datagrams lost, of a hundred", "N" },
-		{ "duplicate", 0, 0, G_OPTION_ARG_INT, &fabric.duplicate,
-		  "Datagrams doubled, of a hundred", "N" },
-		{ "reorder", 0, 0, G_OPTION_ARG_INT, &fabric.reorder,
+		{ "duplicate", 0, 0, G_OPTION_ARG_INT,
+		  &fabric.duplicate_percent, "Datagrams doubled, of a hundred",
+		  "N" },
+		{ "reorder", 0, 0, G_OPTION_ARG_INT, &fabric.reorder_percent,
 		  "Datagrams held back, of a hundred", "N" },
 		{ NULL }
 	};
--- a/standin/load.c
+++ b/standin/load.c
@@ -1,10 +1,10 @@
 /*
- * Load on the data path: calls of many sessions, a fixed number of them on
- * their way at once, from one socket.
+ * Load generator for the data path: sends calls of many sessions from one
+ * socket, with a fixed number of calls in flight.
  *
  *	--mode calls	NULL calls with a token, answered by the agent
- *	--mode flows	NULL calls without one: each opens a session
- *	--mode echo	the same datagrams at a plain relay
+ *	--mode flows	NULL calls without a token; each opens a session
+ *	--mode echo	the datagrams of --mode calls, sent to a plain relay
  */
 
 #include <stdio.h>
@@ -21,15 +21,15 @@
 #define WINDOW_MAX 4096
 #define LATENCIES_MAX 4000000
 
-#define TICK_MS 10
+#define TICK_INTERVAL_MS 10
 
-/* A call without an answer for this long is counted as lost, in us. */
-#define LOST_US 1000000
+/* Time without an answer after which a call counts as lost. */
+#define LOST_TIMEOUT_US 1000000
 
-/* A refused call is made anew after this time, in us. */
-#define REFUSED_US 20000
+/* Delay before a refused call is replaced by a new one. */
+#define REFUSED_RETRY_DELAY_US 20000
 
-/* Bytes of a token that a plain relay gets, as a balancer gets them. */
+/* Length of the token in --mode echo, the same as that of a real token. */
 #define TOKEN_BYTES 72
 
 typedef struct call {
@@ -45,9 +45,9 @@
 	uint8_t token[DY_RPC_MAX_AUTH_BYTES];
 	uint32_t token_len;
 	uint32_t next_xid;
-	int opening;
-	int flows;
-	int echo;
+	int awaiting_token;
+	int flows_mode;
+	int echo_mode;
 	uint64_t started_us;
 	uint64_t answered;
 	uint64_t refused;
@@ -78,7 +78,7 @@
 	call.xid = load->calls[slot].xid;
 	call.program = program;
 	call.program_version = 1;
-	if (!load->flows && !load->opening) {
+	if (!load->flows_mode && !load->awaiting_token) {
 		call.credential.flavor = AUTH_SHORT;
 		call.credential.len = load->token_len;
 		call.credential.body = load->token;
@@ -88,26 +88,26 @@
 			    &load->address);
 }
 
-static void begin(load_t *load)
+static void start_window(load_t *load)
 {
 	int i;
 
-	load->opening = 0;
+	load->awaiting_token = 0;
 	load->started_us = now_us();
 	for (i = 0; i < window; i++)
 		send_call(load, i);
 }
 
-static void keep_token(load_t *load, const dy_rpc_auth_t *verifier)
+static void store_token(load_t *load, const dy_rpc_auth_t *verifier)
 {
 	if (verifier->flavor != AUTH_SHORT || verifier->len < 8)
 		standin_die("the first answer holds no token");
 	load->token_len = verifier->len - 8;
 	memcpy(load->token, verifier->body + 8, load->token_len);
-	begin(load);
+	start_window(load);
 }
 
-static int compare(const void *a, const void *b)
+static int compare_latencies(const void *a, const void *b)
 {
 	uint32_t x = *(const uint32_t *)a;
 	uint32_t y = *(const uint32_t *)b;
@@ -115,16 +115,16 @@
 	return (x > y) - (x < y);
 }
 
-static void finish(load_t *load)
+static void print_result_and_exit(load_t *load)
 {
-	double took = (now_us() - load->started_us) / 1e6;
+	double elapsed_s = (now_us() - load->started_us) / 1e6;
 	uint64_t n = MIN(load->answered, LATENCIES_MAX);
 
-	qsort(load->latencies, n, sizeof(*load->latencies), compare);
+	qsort(load->latencies, n, sizeof(*load->latencies), compare_latencies);
 	printf("answered=%lu refused=%lu lost=%lu per_s=%.0f p50_us=%u "
 	       "p99_us=%u\n",
 	       (unsigned long)load->answered, (unsigned long)load->refused,
-	       (unsigned long)load->lost, load->answered / took,
+	       (unsigned long)load->lost, load->answered / elapsed_s,
 	       n ? load->latencies[n / 2] : 0,
 	       n ? load->latencies[n * 99 / 100] : 0);
 	exit(load->answered ? 0 : 1);
@@ -137,7 +137,7 @@
 			(uint32_t)(now_us() - call->sent_us);
 	load->answered++;
 	if (limit && load->answered >= (uint64_t)limit)
-		finish(load);
+		print_result_and_exit(load);
 }
 
 static void on_answer(void *context, uint8_t *bytes, size_t len,
@@ -152,14 +152,15 @@
 	slot = (int)(ntohl(xid) % WINDOW_MAX);
 	if (slot >= window || load->calls[slot].xid != ntohl(xid))
 		return;
-	if (!load->echo && dy_rpc_parse_reply(bytes, len, &reply))
+	if (!load->echo_mode && dy_rpc_parse_reply(bytes, len, &reply))
 		return;
 	if (reply.denied || reply.status) {
 		load->refused++;
 		load->calls[slot].xid = 0;
-		load->calls[slot].sent_us = now_us() - LOST_US + REFUSED_US;
-	} else if (load->opening) {
-		keep_token(load, &reply.verifier);
+		load->calls[slot].sent_us =
+			now_us() - LOST_TIMEOUT_US + REFUSED_RETRY_DELAY_US;
+	} else if (load->awaiting_token) {
+		store_token(load, &reply.verifier);
 	} else {
 		count_answer(load, &load->calls[slot]);
 		send_call(load, slot);
@@ -172,25 +173,26 @@
 	uint64_t now = now_us();
 	int i;
 
-	for (i = 0; i < (load->opening ? 1 : window); i++)
-		if (now - load->calls[i].sent_us > LOST_US) {
+	for (i = 0; i < (load->awaiting_token ? 1 : window); i++)
+		if (now - load->calls[i].sent_us > LOST_TIMEOUT_US) {
 			load->lost += load->calls[i].xid != 0;
 			send_call(load, i);
 		}
-	if (!load->opening && now - load->started_us > seconds * 1000000ULL)
-		finish(load);
+	if (!load->awaiting_token &&
+	    now - load->started_us > seconds * 1000000ULL)
+		print_result_and_exit(load);
 }
 
 static void start(load_t *load)
 {
 	load->next_xid = g_random_int();
-	load->echo = !load->opening && !load->flows;
-	if (load->opening) {
+	load->echo_mode = !load->awaiting_token && !load->flows_mode;
+	if (load->awaiting_token) {
 		send_call(load, 0);
 		return;
 	}
 	load->token_len = TOKEN_BYTES;
-	begin(load);
+	start_window(load);
 }
 
 int main(int argc, char **argv)
@@ -222,15 +224,15 @@
 	if (window < 1 || window > WINDOW_MAX)
 		standin_die("--window %d is not 1 to %d", window, WINDOW_MAX);
 	load.latencies = g_new(uint32_t, LATENCIES_MAX);
-	load.opening = !strcmp(mode, "calls");
-	load.flows = !strcmp(mode, "flows");
+	load.awaiting_token = !strcmp(mode, "calls");
+	load.flows_mode = !strcmp(mode, "flows");
 	load.loop = dy_loop_create(dy_metrics_create());
 	dy_address_parse("127.0.0.1:0", &any);
 	load.endpoint =
 		dy_endpoint_create(load.loop, &any, on_answer, &load, &error);
 	if (!load.endpoint)
 		standin_die("%s", error->message);
-	dy_loop_every(load.loop, TICK_MS, on_tick, &load);
+	dy_loop_every(load.loop, TICK_INTERVAL_MS, on_tick, &load);
 	start(&load);
 	dy_loop_run(load.loop);
 	return 0;
--- a/standin/maps_target.c
+++ b/standin/maps_target.c
@@ -1,4 +1,4 @@
-/* A map server: hands out any page of any map, always the same bytes. */
+/* A map server: answers any page of any map, always with the same bytes. */
 
 #include "common_args.h"
 #include "common_maps.h"
@@ -9,7 +9,7 @@
 	char bytes[STANDIN_PAGE_MAX];
 } page_reply_t;
 
-static void pull(unsigned delay_ms, SVCXPRT *transport)
+static void answer_page(unsigned delay_ms, SVCXPRT *transport)
 {
 	standin_page_args_t args = { 0 };
 	page_reply_t *reply;
@@ -29,7 +29,8 @@
 	svc_freeargs(transport, (xdrproc_t)xdr_standin_page_args_t, &args);
 }
 
-static void call(void *context, struct svc_req *request, SVCXPRT *transport)
+static void handle_call(void *context, struct svc_req *request,
+			SVCXPRT *transport)
 {
 	const int *delay_ms = context;
 
@@ -38,7 +39,7 @@
 		standin_server_reply(transport, STANDIN_XDR_VOID, NULL, 0);
 		break;
 	case STANDIN_PAGE:
-		pull(*delay_ms, transport);
+		answer_page(*delay_ms, transport);
 		break;
 	default:
 		svcerr_noproc(transport);
@@ -59,6 +60,6 @@
 
 	standin_parse_options(argc, argv, "A stand-in map server.", entries);
 	standin_server_run(listen_text, STANDIN_MAPS_PROG, STANDIN_MAPS_VERS,
-			   call, &delay_ms);
+			   handle_call, &delay_ms);
 	return 0;
 }
--- a/standin/ports.c
+++ b/standin/ports.c
@@ -1,4 +1,4 @@
-/* Prints free ports of 127.0.0.1, one a line, for scripts. */
+/* Prints free ports of 127.0.0.1 for scripts, one per line. */
 
 #include "common_args.h"
 
@@ -9,18 +9,18 @@
 #define PORTS_MAX 200
 
 /*
- * Ports are taken from below those that Linux gives to whoever asks for any
- * (32768 to 60999 unless it is told otherwise). Guards against a port that was
- * free when it was printed, and is some caller's by the time that a process is
- * to listen there: that process ends, and its service has no target.
+ * The range lies below the ephemeral ports of Linux (32768 to 60999 by
+ * default). An ephemeral port may be free when it is printed and be assigned
+ * to a caller's socket before the process that is to listen on it starts. That
+ * process then exits, and its service has no target.
  */
-#define PORT_LEAST 16384
-#define PORT_MOST 32767
+#define PORT_MIN 16384
+#define PORT_MAX 32767
 
-/* Ports tried for one that is free. */
-#define TRIES_MAX 10000
+/* Random ports to try before giving up. */
+#define BIND_TRIES_MAX 10000
 
-static int bind_to(int type, unsigned port)
+static int bind_loopback(int type, unsigned port)
 {
 	struct sockaddr_in address = standin_parse_address("127.0.0.1:0");
 	int fd = socket(AF_INET, type, 0);
@@ -32,18 +32,18 @@
 	return -1;
 }
 
-/* A port that is free for datagrams and for connections alike. */
+/* Bind a random port that is free for both UDP and TCP. */
 static unsigned bind_port(int fds[2])
 {
 	unsigned port;
 	int i;
 
-	for (i = 0; i < TRIES_MAX; i++) {
-		port = (unsigned)g_random_int_range(PORT_LEAST, PORT_MOST + 1);
-		fds[0] = bind_to(SOCK_DGRAM, port);
+	for (i = 0; i < BIND_TRIES_MAX; i++) {
+		port = (unsigned)g_random_int_range(PORT_MIN, PORT_MAX + 1);
+		fds[0] = bind_loopback(SOCK_DGRAM, port);
 		if (fds[0] < 0)
 			continue;
-		fds[1] = bind_to(SOCK_STREAM, port);
+		fds[1] = bind_loopback(SOCK_STREAM, port);
 		if (fds[1] >= 0)
 			return port;
 		close(fds[0]);
@@ -54,19 +54,19 @@
 int main(int argc, char **argv)
 {
 	int fds[PORTS_MAX][2];
-	int wanted = 1;
+	int count = 1;
 	int i;
 	const GOptionEntry entries[] = { { "count", 0, 0, G_OPTION_ARG_INT,
-					   &wanted, "Number of ports", "N" },
+					   &count, "Number of ports", "N" },
 					 { NULL } };
 
 	standin_parse_options(argc, argv, "Prints free ports of 127.0.0.1.",
 			      entries);
-	if (wanted < 1 || wanted > PORTS_MAX)
-		standin_die("--count %d is not 1 to %d", wanted, PORTS_MAX);
-	for (i = 0; i < wanted; i++)
+	if (count < 1 || count > PORTS_MAX)
+		standin_die("--count %d is not 1 to %d", count, PORTS_MAX);
+	for (i = 0; i < count; i++)
 		printf("%u\n", bind_port(fds[i]));
-	for (i = 0; i < wanted; i++) {
+	for (i = 0; i < count; i++) {
 		close(fds[i][0]);
 		close(fds[i][1]);
 	}
--- a/standin/readings_caller.c
+++ b/standin/readings_caller.c
@@ -1,7 +1,7 @@
 /*
- * Stations that submit readings, each over a flow of its own. A careful
- * caller: what did not run is sent again, what may have run never is. Every
- * step stands in an account file, one line each:
+ * Stations that submit readings, each over its own flow. A reading that did
+ * not run is submitted again; one that may have run is not, as SUBMIT is not
+ * idempotent. Every event is appended to the account file, one line each:
  *
  *	STATION SEQUENCE MILLIMAG sent|answered|not_run|may_have_run|mismatched
  */
@@ -14,12 +14,12 @@
 #include <signal.h>
 #include <stdio.h>
 
-/* Sequences of two stations never meet, so that a mixed-up answer shows. */
-#define SEQUENCES_A_STATION 1000000
-/* Between two tries of a reading that did not run. */
-#define PAUSE_MS 100
-/* A flow whose calls were refused for this long is opened anew. */
-#define REFUSED_MS 8000
+/* Stations share no sequence, so that an answer to another is detected. */
+#define SEQUENCES_PER_STATION 1000000
+/* Delay before a reading that did not run is submitted again. */
+#define RETRY_DELAY_MS 100
+/* A flow whose calls are refused for this time is reopened. */
+#define REFUSED_REOPEN_MS 8000
 
 typedef struct options {
 	struct sockaddr_in address;
@@ -62,7 +62,7 @@
 	.timeout_ms = 6000,
 	.give_up_ms = 30000,
 };
-static FILE *account;
+static FILE *account_file;
 static GMutex lock; /* guards account and totals */
 static unsigned totals[TOTALS];
 static volatile sig_atomic_t stopping;
@@ -71,12 +71,12 @@
 	char *name;
 	unsigned index;
 	unsigned answered;
-	int broken;
+	int was_reopened;
 	standin_flow_t flow;
 	GThread *thread;
 } station_t;
 
-static void stop(int number)
+static void on_stop_signal(int number)
 {
 	stopping = 1;
 }
@@ -88,32 +88,32 @@
 	g_mutex_unlock(&lock);
 }
 
-static void note(const standin_reading_t *reading, total_t total)
+static void record_event(const standin_reading_t *reading, total_t total)
 {
 	g_mutex_lock(&lock);
 	totals[total]++;
-	fprintf(account, "%s %u %d %s\n", reading->station, reading->sequence,
-		reading->millimag, total_names[total]);
-	fflush(account);
+	fprintf(account_file, "%s %u %d %s\n", reading->station,
+		reading->sequence, reading->millimag, total_names[total]);
+	fflush(account_file);
 	g_mutex_unlock(&lock);
 }
 
-/* Returns -1 when no flow could be opened. */
+/* Returns 0, or -1 if no flow could be opened. */
 static int reopen(station_t *station, total_t cause)
 {
 	add_total(TOTAL_BROKEN_FLOWS);
 	add_total(cause);
-	station->broken = 1;
+	station->was_reopened = 1;
 	return standin_flow_open(&station->flow, options.give_up_ms);
 }
 
-static standin_outcome_t send_once(station_t *station,
-				   standin_reading_t *reading)
+static standin_outcome_t send_reading(station_t *station,
+				      standin_reading_t *reading)
 {
 	unsigned answer = 0;
 	standin_outcome_t outcome;
 
-	note(reading, TOTAL_SENT);
+	record_event(reading, TOTAL_SENT);
 	outcome = standin_flow_call(&station->flow, STANDIN_SUBMIT,
 				    (xdrproc_t)xdr_standin_reading_t, reading,
 				    (xdrproc_t)xdr_u_int, &answer);
@@ -122,62 +122,66 @@
 	return outcome;
 }
 
-/* Returns whether the reading is over: it is not when it did not run. */
-static int settle(station_t *station, const standin_reading_t *reading,
-		  standin_outcome_t outcome)
+/* Returns 1, or 0 if the reading did not run and is to be submitted again. */
+static int record_outcome(station_t *station, const standin_reading_t *reading,
+			  standin_outcome_t outcome)
 {
 	switch (outcome) {
 	case STANDIN_ANSWERED:
 		station->answered++;
-		note(reading, TOTAL_ANSWERED);
+		record_event(reading, TOTAL_ANSWERED);
 		return 1;
 	case STANDIN_NOT_RUN:
-		note(reading, TOTAL_NOT_RUN);
+		record_event(reading, TOTAL_NOT_RUN);
 		return 0;
 	case STANDIN_NO_TOKEN:
-		note(reading, TOTAL_NOT_RUN);
+		record_event(reading, TOTAL_NOT_RUN);
 		reopen(station, TOTAL_BROKEN_TOKEN);
 		return 0;
 	case STANDIN_MAY_HAVE_RUN:
-		note(reading, TOTAL_MAY_HAVE_RUN);
+		record_event(reading, TOTAL_MAY_HAVE_RUN);
 		reopen(station, TOTAL_BROKEN_ERROR);
 		return 1;
 	case STANDIN_TIMED_OUT:
-		note(reading, TOTAL_MAY_HAVE_RUN);
+		record_event(reading, TOTAL_MAY_HAVE_RUN);
 		reopen(station, TOTAL_BROKEN_TIMEOUT);
 		return 1;
 	default:
-		note(reading, TOTAL_MISMATCHED);
+		record_event(reading, TOTAL_MISMATCHED);
 		return 1;
 	}
 }
 
-static void submit(station_t *station, standin_reading_t *reading)
+static void submit_reading(station_t *station, standin_reading_t *reading)
 {
 	uint64_t start_ms = standin_now_ms();
 	uint64_t refused_ms = start_ms;
 
-	while (!settle(station, reading, send_once(station, reading))) {
+	while (!record_outcome(station, reading,
+			       send_reading(station, reading))) {
 		uint64_t now_ms = standin_now_ms();
 
 		if (now_ms > start_ms + options.give_up_ms) {
 			add_total(TOTAL_GAVE_UP);
 			return;
 		}
-		if (now_ms > refused_ms + REFUSED_MS) {
+		if (now_ms > refused_ms + REFUSED_REOPEN_MS) {
 			reopen(station, TOTAL_BROKEN_REFUSED);
 			refused_ms = standin_now_ms();
 		}
-		g_usleep(PAUSE_MS * 1000);
+		g_usleep(RETRY_DELAY_MS * 1000);
 	}
 }
 
-/* The target that served the whole flow stored what it answered. */
+/*
+ * A flow that was never reopened had one target, which must have stored as
+ * many readings as it answered.
+ */
 static void verify_count(station_t *station)
 {
 	unsigned count = 0;
 
-	if (!options.verify_count || station->broken)
+	if (!options.verify_count || station->was_reopened)
 		return;
 	if (standin_flow_call(&station->flow, STANDIN_COUNT,
 			      (xdrproc_t)xdr_standin_station_t, &station->name,
@@ -187,7 +191,7 @@
 		add_total(TOTAL_MISMATCHED);
 }
 
-static void *run(void *context)
+static void *run_station(void *context)
 {
 	station_t *station = context;
 	standin_reading_t reading = { .station = station->name };
@@ -198,9 +202,9 @@
 		return NULL;
 	}
 	for (i = 0; i < options.readings && !stopping; i++) {
-		reading.sequence = station->index * SEQUENCES_A_STATION + i;
+		reading.sequence = station->index * SEQUENCES_PER_STATION + i;
 		reading.millimag = 18000 + (int)(reading.sequence % 4000);
-		submit(station, &reading);
+		submit_reading(station, &reading);
 		g_usleep(options.pace_ms * 1000);
 	}
 	verify_count(station);
@@ -221,9 +225,10 @@
 		station->flow.address = options.address;
 		station->flow.program = STANDIN_READINGS_PROG;
 		station->flow.version = STANDIN_READINGS_VERS;
-		station->flow.retry_ms = options.retry_ms;
+		station->flow.retry_interval_ms = options.retry_ms;
 		station->flow.timeout_ms = options.timeout_ms;
-		station->thread = g_thread_new(station->name, run, station);
+		station->thread =
+			g_thread_new(station->name, run_station, station);
 	}
 	for (i = 0; i < options.stations; i++) {
 		g_thread_join(stations[i].thread);
@@ -272,14 +277,14 @@
 
 	standin_parse_options(argc, argv, "Stand-in stations.", entries);
 	options.address = standin_parse_address(address);
-	account = path ? fopen(path, "a") : NULL;
-	if (!account)
+	account_file = path ? fopen(path, "a") : NULL;
+	if (!account_file)
 		standin_die("--account: %s",
 			    path ? g_strerror(errno) : "missing");
-	signal(SIGTERM, stop);
-	signal(SIGINT, stop);
+	signal(SIGTERM, on_stop_signal);
+	signal(SIGINT, on_stop_signal);
 	run_stations();
 	print_totals();
-	fclose(account);
+	fclose(account_file);
 	return totals[TOTAL_MISMATCHED] || totals[TOTAL_GAVE_UP];
 }
--- a/standin/readings_target.c
+++ b/standin/readings_target.c
@@ -1,6 +1,6 @@
 /*
- * A readings server: appends each submission to a file, which is the account
- * of what was run. Its options make it slow, silent or unwilling.
+ * A readings server. It appends each submission to a file, which records the
+ * calls that ran. Options make it delay answers, omit them or refuse calls.
  */
 
 #include "common_args.h"
@@ -13,11 +13,11 @@
 #include <string.h>
 #include <unistd.h>
 
-/* When a caller that was shed should come back. */
+/* Retry delay that a shed caller is told. */
 #define SHED_RETRY_MS 50
 
 typedef struct target {
-	int fd;
+	int stored_fd;
 	GHashTable *counts;
 	unsigned submitted;
 	unsigned delay_ms;
@@ -26,18 +26,19 @@
 	unsigned calls;
 } target_t;
 
-static unsigned count_of(const target_t *target, const char *station)
+static unsigned stored_count(const target_t *target, const char *station)
 {
 	return GPOINTER_TO_UINT(g_hash_table_lookup(target->counts, station));
 }
 
 static void add_count(target_t *target, const char *station)
 {
-	g_hash_table_insert(target->counts, g_strdup(station),
-			    GUINT_TO_POINTER(count_of(target, station) + 1));
+	g_hash_table_insert(
+		target->counts, g_strdup(station),
+		GUINT_TO_POINTER(stored_count(target, station) + 1));
 }
 
-/* A restarted target counts on from what its file holds. */
+/* A restarted target continues the counts from its file. */
 static void load_counts(target_t *target, const char *path)
 {
 	char *text = NULL;
@@ -58,19 +59,19 @@
 	g_free(text);
 }
 
-/* A station is one word of the file: no blank or control character. */
+/* A station is one word of the file, so it must hold no white space. */
 static int valid_station(const char *station)
 {
 	return *station && !strpbrk(station, " \t\r\n");
 }
 
-static void store(target_t *target, const standin_reading_t *reading)
+static void store_reading(target_t *target, const standin_reading_t *reading)
 {
 	char *line = g_strdup_printf("%s %u %d\n", reading->station,
 				     reading->sequence, reading->millimag);
 	size_t length = strlen(line);
 
-	if (write(target->fd, line, length) != (ssize_t)length)
+	if (write(target->stored_fd, line, length) != (ssize_t)length)
 		standin_die("the file can't be written: %s", g_strerror(errno));
 	add_count(target, reading->station);
 	target->submitted++;
@@ -86,8 +87,8 @@
 	standin_server_reply(transport, (xdrproc_t)xdr_u_int, result, delay_ms);
 }
 
-/* Refuse the call, saying in the verifier that it did not run. */
-static void shed(SVCXPRT *transport)
+/* Refuse the call; the verifier states that it did not run. */
+static void refuse_as_shed(SVCXPRT *transport)
 {
 	struct opaque_auth *verifier = &transport->xp_verf;
 	dy_refusal_t refusal = { DY_NOT_RUN, DY_REASON_SHED, SHED_RETRY_MS };
@@ -102,14 +103,14 @@
 	svcerr_systemerr(transport);
 }
 
-static int sheds_next(target_t *target)
+static int should_shed(target_t *target)
 {
 	target->calls++;
 	return target->shed_every > 0 &&
 	       target->calls % (unsigned)target->shed_every == 0;
 }
 
-static void submit(target_t *target, SVCXPRT *transport)
+static void answer_submit(target_t *target, SVCXPRT *transport)
 {
 	standin_reading_t reading = { 0 };
 
@@ -117,10 +118,10 @@
 			 &reading) ||
 	    !valid_station(reading.station)) {
 		svcerr_decode(transport);
-	} else if (sheds_next(target)) {
-		shed(transport);
+	} else if (should_shed(target)) {
+		refuse_as_shed(transport);
 	} else {
-		store(target, &reading);
+		store_reading(target, &reading);
 		if (target->stall_after < 0 ||
 		    target->submitted <= (unsigned)target->stall_after)
 			reply_unsigned(transport, reading.sequence,
@@ -129,18 +130,19 @@
 	svc_freeargs(transport, (xdrproc_t)xdr_standin_reading_t, &reading);
 }
 
-static void count(const target_t *target, SVCXPRT *transport)
+static void answer_count(const target_t *target, SVCXPRT *transport)
 {
 	standin_station_t station = NULL;
 
 	if (svc_getargs(transport, (xdrproc_t)xdr_standin_station_t, &station))
-		reply_unsigned(transport, count_of(target, station), 0);
+		reply_unsigned(transport, stored_count(target, station), 0);
 	else
 		svcerr_decode(transport);
 	svc_freeargs(transport, (xdrproc_t)xdr_standin_station_t, &station);
 }
 
-static void call(void *context, struct svc_req *request, SVCXPRT *transport)
+static void handle_call(void *context, struct svc_req *request,
+			SVCXPRT *transport)
 {
 	target_t *target = context;
 
@@ -149,10 +151,10 @@
 		standin_server_reply(transport, STANDIN_XDR_VOID, NULL, 0);
 		break;
 	case STANDIN_SUBMIT:
-		submit(target, transport);
+		answer_submit(target, transport);
 		break;
 	case STANDIN_COUNT:
-		count(target, transport);
+		answer_count(target, transport);
 		break;
 	default:
 		svcerr_noproc(transport);
@@ -188,10 +190,11 @@
 	target.counts =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	load_counts(&target, path);
-	target.fd = open(path, O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0644);
-	if (target.fd < 0)
+	target.stored_fd =
+		open(path, O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0644);
+	if (target.stored_fd < 0)
 		standin_die("%s: %s", path, g_strerror(errno));
 	standin_server_run(listen_text, STANDIN_READINGS_PROG,
-			   STANDIN_READINGS_VERS, call, &target);
+			   STANDIN_READINGS_VERS, handle_call, &target);
 	return 0;
 }
