--- a/src/process/control/control_membership.c
+++ b/src/process/control/control_membership.c
@@ -249,7 +249,7 @@
 	if (!control->options.dynamic_membership ||
 	    control_now_ms(control) - control->started_ms < JOIN_TIMEOUT_MS)
 		return;
-	dy_log_event(DY_LOG_WARN, "control_waited_in_vain", "slot=%u",
+	dy_log_event(DY_LOG_WARN, "control_join_timeout", "slot=%u",
 		     control->options.slot);
 	control_terminate(control, DY_CONTROL_EVICTED);
 }
--- a/src/process/control/control_review.c
+++ b/src/process/control/control_review.c
@@ -157,7 +157,7 @@
 
 	(void)index;
 	control->transferring = 0;
-	dy_log_event(DY_LOG_INFO, "lead_handed_over", "done=%d",
+	dy_log_event(DY_LOG_INFO, "leadership_transferred", "done=%d",
 		     result == DY_RAFT_DONE);
 }
 
--- a/src/process/flow/cmd_flow_control.c
+++ b/src/process/flow/cmd_flow_control.c
@@ -114,7 +114,7 @@
 
 static void log_restart(const GError *error)
 {
-	dy_log_event(DY_LOG_WARN, "control_starts_again", "ms=%d error=%s",
+	dy_log_event(DY_LOG_WARN, "control_restarting", "ms=%d error=%s",
 		     RESTART_DELAY_MS,
 		     dy_log_quote(error ? error->message : "disk"));
 }
--- a/src/process/group/slot_claim.c
+++ b/src/process/group/slot_claim.c
@@ -96,7 +96,7 @@
 	peers->slots[place->slot] = claim->options->listen;
 	claim->options->slot = place->slot;
 	claim->granted = 1;
-	dy_log_event(DY_LOG_INFO, "place_given", "slot=%u members=%u",
+	dy_log_event(DY_LOG_INFO, "slot_assigned", "slot=%u members=%u",
 		     place->slot, place->seats.seats_len);
 	dy_loop_end(claim->loop);
 }
@@ -144,7 +144,7 @@
 		dy_loop_on_stop(claim.loop, on_stop, &claim);
 		dy_loop_every(claim.loop, REQUEST_INTERVAL_MS, on_request_timer,
 			      &claim);
-		dy_log_event(DY_LOG_INFO, "place_wanted", "seeds=%d",
+		dy_log_event(DY_LOG_INFO, "slot_requested", "seeds=%d",
 			     settings->seeds.count);
 		on_request_timer(&claim);
 		dy_loop_run(claim.loop);
