--- a/src/process/command/cmd_agent.c
+++ b/src/process/command/cmd_agent.c
@@ -10,7 +10,7 @@
 	  .value = &values.announce,
 	  .required = TRUE,
 	  .argument = "IP:PORT",
-	  .help = "where its target announces itself" },
+	  .help = "address to which the target announces itself" },
 	{ 0 },
 };
 
@@ -20,8 +20,9 @@
 	int code = DY_EXIT_OK;
 
 	if (!dy_settings_load(argc, argv,
-			      "Serve one target, beside it: hold its sessions, "
-			      "queue, slots and duplicate request cache.",
+			      "Run the agent beside one target. It holds the "
+			      "target's sessions, queue, slots\nand duplicate "
+			      "request cache.",
 			      settings, NULL, &error))
 		return dy_command_fail_usage("agent", error);
 	dy_command_start_log(values.member.log_level, values.member.name);
--- a/src/process/command/cmd_announce.c
+++ b/src/process/command/cmd_announce.c
@@ -9,11 +9,11 @@
 #include "damaskyard/settings.h"
 #include "dy_target.h"
 
-/* A third of the lease of 3 s, so that two lost datagrams are no outage. */
-#define PERIOD_MS 1000
+/* A third of the 3 s lease: two lost datagrams cause no outage. */
+#define ANNOUNCE_INTERVAL_MS 1000
 
-/* With --once, an agent that has not answered by then is not there. */
-#define ONCE_MS 2000
+/* With --once, the command fails if the agent does not answer by then. */
+#define ONCE_TIMEOUT_MS 2000
 
 typedef struct announcer {
 	char *service;
@@ -31,7 +31,7 @@
 	dy_loop_t *loop;
 	dy_endpoint_t *endpoint;
 	uint32_t xid;
-	int last_status; /* -1: no answer yet */
+	int last_status; /* -1 before the first answer */
 	uint64_t started_ms;
 	int exit_code;
 } announcer_t;
@@ -45,7 +45,8 @@
 							  : "unknown";
 }
 
-static size_t write_args(announcer_t *announcer, uint8_t *out, size_t cap)
+static size_t encode_announcement(announcer_t *announcer, uint8_t *out,
+				  size_t cap)
 {
 	char address[DY_ADDRESS_TEXT_BYTES];
 	dy_announcement_t announcement = { 0 };
@@ -79,12 +80,12 @@
 	call.program_version = DY_ANNOUNCE_V1;
 	call.procedure = DY_ANNOUNCE;
 	call.args = args;
-	call.args_len = write_args(announcer, args, sizeof(args));
+	call.args_len = encode_announcement(announcer, args, sizeof(args));
 	len = dy_rpc_write_call(&call, out, sizeof(out));
 	dy_endpoint_send_to(announcer->endpoint, out, len, &announcer->agent);
 	if (announcer->once &&
 	    dy_loop_now_ms(announcer->loop) - announcer->started_ms >=
-		    ONCE_MS) {
+		    ONCE_TIMEOUT_MS) {
 		dy_log_event(DY_LOG_ERROR, "announcement_unanswered",
 			     "service=%s", announcer->service);
 		announcer->exit_code = DY_EXIT_FAILED;
@@ -92,7 +93,7 @@
 	}
 }
 
-static void take_status(announcer_t *announcer, int status)
+static void handle_status(announcer_t *announcer, int status)
 {
 	if (status != announcer->last_status)
 		dy_log_event(status == DY_ANNOUNCE_OK ? DY_LOG_INFO
@@ -124,7 +125,7 @@
 	xdrmem_create(&xdrs, (char *)reply.results, (u_int)reply.results_len,
 		      XDR_DECODE);
 	if (xdr_dy_announce_result_t(&xdrs, &result))
-		take_status(announcer, result.status);
+		handle_status(announcer, result.status);
 }
 
 static void on_stop(void *context)
@@ -134,7 +135,7 @@
 	dy_loop_end(announcer->loop);
 }
 
-/* Any own address will do; the agent's tells which family. */
+/* Binds to any port, in the address family of the agent. */
 static gboolean open_endpoint(announcer_t *announcer, GError **error)
 {
 	static const uint8_t mapped[12] = { [10] = 0xff, [11] = 0xff };
@@ -162,7 +163,8 @@
 	ok = open_endpoint(announcer, &error);
 	if (ok) {
 		dy_loop_on_stop(announcer->loop, on_stop, announcer);
-		dy_loop_every(announcer->loop, PERIOD_MS, announce, announcer);
+		dy_loop_every(announcer->loop, ANNOUNCE_INTERVAL_MS, announce,
+			      announcer);
 		announce(announcer);
 		dy_loop_run(announcer->loop);
 		dy_endpoint_destroy(announcer->endpoint);
@@ -178,36 +180,38 @@
 	announcer_t announcer = { 0 };
 	const dy_setting_t settings[] = {
 		{ "agent", DY_SETTING_ADDRESS, &announcer.agent, TRUE, NULL, 0,
-		  0, "IP:PORT", "The --announce address of its agent" },
+		  0, "IP:PORT", "address in --announce of the agent" },
 		{ "service", DY_SETTING_NAME, &announcer.service, TRUE, NULL, 0,
-		  0, "NAME", "What the target serves" },
+		  0, "NAME", "service that the target offers" },
 		{ "target", DY_SETTING_ADDRESS, &announcer.target, TRUE, NULL,
-		  0, 0, "IP:PORT", "Where the target takes calls, TCP" },
+		  0, 0, "IP:PORT",
+		  "TCP address at which the target accepts calls" },
 		{ "slots", DY_SETTING_NUMBER, &announcer.slots, TRUE, NULL, 1,
-		  64, "N", "Calls that it runs at once" },
+		  64, "N", "concurrent calls that the target runs" },
 		{ "connections", DY_SETTING_NUMBER, &announcer.connections,
-		  TRUE, NULL, 1, 100000, "N", "Sessions that it holds" },
+		  TRUE, NULL, 1, 100000, "N",
+		  "concurrent sessions that the target holds" },
 		{ "labels", DY_SETTING_TEXT, &announcer.labels, FALSE, "", 0, 0,
-		  "K=V,..", "What the document may ask for" },
+		  "K=V,..", "labels that a document may require" },
 		{ "incarnation", DY_SETTING_NUMBER, &announcer.incarnation,
 		  FALSE, NULL, 1, 0, "N",
-		  "Grows with each start of the target (the time of day)" },
+		  "greater at each start of the target; default the time of day" },
 		{ "cold", DY_SETTING_FLAG, &announcer.cold, FALSE, NULL, 0, 0,
-		  NULL, "The target has just started" },
+		  NULL, "the target has just started" },
 		{ "draining", DY_SETTING_FLAG, &announcer.draining, FALSE, NULL,
-		  0, 0, NULL, "The target is about to stop" },
+		  0, 0, NULL, "the target is about to stop" },
 		{ "takes-cancel", DY_SETTING_FLAG, &announcer.takes_cancel,
 		  FALSE, NULL, 0, 0, NULL,
-		  "The target serves cancellation too" },
+		  "the target serves cancellation calls too" },
 		{ "once", DY_SETTING_FLAG, &announcer.once, FALSE, NULL, 0, 0,
-		  NULL, "Announce once and end" },
+		  NULL, "exit after the first answer, or after 2 s" },
 		{ 0 },
 	};
 	GError *error = NULL;
 	int code;
 
 	if (dy_settings_load(argc, argv,
-			     "Announces a target to the agent beside it, each "
+			     "Announce a target to the agent beside it every "
 			     "second.",
 			     settings, NULL, &error))
 		code = run(&announcer);
--- a/src/process/command/cmd_balancer.c
+++ b/src/process/command/cmd_balancer.c
@@ -9,7 +9,7 @@
 	  .kind = DY_SETTING_TEXT,
 	  .value = &values.bind_host,
 	  .argument = "IP",
-	  .help = "bind services here, on free ports, not on their addresses" },
+	  .help = "bind services to free ports of this address, not to their own" },
 	{ 0 },
 };
 
--- a/src/process/command/cmd_call.c
+++ b/src/process/command/cmd_call.c
@@ -9,11 +9,11 @@
 #include "damaskyard/settings.h"
 #include "damaskyard/token.h"
 
-/* A stock client's own first pause before it sends again, in ms. */
-#define RESEND_MS 500
+/* The first retransmission interval of a stock client. */
+#define RETRANSMIT_INTERVAL_MS 500
 
-/* How often the command looks whether to send again, in ms. */
-#define TICK_MS 10
+/* Interval at which retransmission and timeout are checked. */
+#define TICK_INTERVAL_MS 10
 
 static struct {
 	dy_address_t address;
@@ -31,37 +31,37 @@
 	  .value = &values.address,
 	  .required = TRUE,
 	  .argument = "IP:PORT",
-	  .help = "of the service, or of one balancer for it" },
+	  .help = "address of the service, or of one balancer for it" },
 	{ .flag = "program",
 	  .kind = DY_SETTING_NUMBER,
 	  .value = &values.program,
 	  .required = TRUE,
 	  .most = UINT32_MAX,
 	  .argument = "N",
-	  .help = "ONC RPC program" },
+	  .help = "ONC RPC program number" },
 	{ .flag = "version",
 	  .kind = DY_SETTING_NUMBER,
 	  .value = &values.program_version,
 	  .fallback = "1",
 	  .most = UINT32_MAX,
 	  .argument = "N",
-	  .help = "its version, 1 if not given" },
+	  .help = "version of the program; default 1" },
 	{ .flag = "procedure",
 	  .kind = DY_SETTING_NUMBER,
 	  .value = &values.procedure,
 	  .fallback = "0",
 	  .most = UINT32_MAX,
 	  .argument = "N",
-	  .help = "procedure, 0 (NULL) if not given" },
+	  .help = "procedure number; default 0 (NULL)" },
 	{ .flag = "token",
 	  .kind = DY_SETTING_TEXT,
 	  .value = &values.token,
 	  .argument = "HEX",
-	  .help = "call in this session, as an earlier call printed it" },
+	  .help = "token of the session to call in, as an earlier call printed it" },
 	{ .flag = "no-open",
 	  .kind = DY_SETTING_FLAG,
 	  .value = &values.no_open,
-	  .help = "do not open a flow first when there is no token" },
+	  .help = "do not open a flow first if there is no token" },
 	{ .flag = "timeout-ms",
 	  .kind = DY_SETTING_NUMBER,
 	  .value = &values.timeout_ms,
@@ -69,16 +69,19 @@
 	  .least = 1,
 	  .most = 600000,
 	  .argument = "MS",
-	  .help = "give up after this time" },
+	  .help = "timeout for an answer; default 5000" },
 	{ 0 },
 };
 
-/* One call, sent until it is answered, after the flow is open. */
+/*
+ * One call, retransmitted until it is answered. Without a token, a call of
+ * procedure 0 opens the flow first, unless --no-open is given.
+ */
 typedef struct exchange {
 	dy_loop_t *loop;
 	dy_endpoint_t *endpoint;
 	uint32_t xid;
-	uint32_t procedure; /* of the call under way */
+	uint32_t procedure; /* of the call in progress */
 	uint8_t token[DY_RPC_MAX_AUTH_BYTES];
 	size_t token_len;
 	uint8_t args[DY_DATAGRAM_BYTES];
@@ -86,7 +89,7 @@
 	uint64_t started_ms;
 	uint64_t sent_ms;
 	int sent;
-	int code;
+	int exit_code;
 } exchange_t;
 
 static int parse_hex(const char *text, uint8_t *out, size_t cap, size_t *len)
@@ -106,7 +109,7 @@
 	return 0;
 }
 
-/* "string:S", "uint:N", "int:N" or "hex:DIGITS", encoded by XDR. */
+/* Encodes "string:S", "uint:N", "int:N" or "hex:DIGITS" as XDR. */
 static gboolean encode_argument(XDR *xdrs, const char *text)
 {
 	uint8_t bytes[DY_DATAGRAM_BYTES];
@@ -195,7 +198,7 @@
 		printf("%02x", bytes[i]);
 }
 
-/* The token is opaque to callers; an operator may look inside. */
+/* Prints the fields of the token, which is opaque to callers. */
 static void print_token(const exchange_t *exchange)
 {
 	char address[DY_ADDRESS_TEXT_BYTES];
@@ -228,13 +231,13 @@
 	if (reply && reply->results_len)
 		print_hex("result", reply->results, reply->results_len);
 	putchar('\n');
-	exchange->code =
+	exchange->exit_code =
 		refusal->verdict == DY_RAN ? DY_EXIT_OK : DY_EXIT_FAILED;
 	dy_loop_end(exchange->loop);
 }
 
-/* The verifier of an answer holds an opaque_auth that holds the token. */
-static void keep_token(exchange_t *exchange, const dy_rpc_auth_t *verifier)
+/* The body of the verifier is an encoded opaque_auth that holds the token. */
+static void store_token(exchange_t *exchange, const dy_rpc_auth_t *verifier)
 {
 	struct opaque_auth inner = { 0 };
 	XDR xdrs;
@@ -249,7 +252,7 @@
 	xdr_free((xdrproc_t)xdr_opaque_auth, (char *)&inner);
 }
 
-static void take_refusal(exchange_t *exchange, const dy_rpc_reply_t *reply)
+static void handle_refusal(exchange_t *exchange, const dy_rpc_reply_t *reply)
 {
 	dy_refusal_t refusal = { DY_MAY_HAVE_RUN, DY_REASON_NONE, 0 };
 	char status[32];
@@ -280,10 +283,10 @@
 	    reply.xid != exchange->xid)
 		return;
 	if (reply.denied || reply.status != SUCCESS) {
-		take_refusal(exchange, &reply);
+		handle_refusal(exchange, &reply);
 		return;
 	}
-	keep_token(exchange, &reply.verifier);
+	store_token(exchange, &reply.verifier);
 	if (exchange->procedure == values.procedure) {
 		finish(exchange, &none, "success", &reply);
 		return;
@@ -303,7 +306,8 @@
 		if (exchange->procedure != values.procedure)
 			refusal.verdict = DY_NOT_RUN;
 		finish(exchange, &refusal, "no_answer", NULL);
-	} else if (!exchange->sent || now - exchange->sent_ms >= RESEND_MS) {
+	} else if (!exchange->sent ||
+		   now - exchange->sent_ms >= RETRANSMIT_INTERVAL_MS) {
 		send_call(exchange);
 	}
 }
@@ -339,7 +343,8 @@
 	exchange->endpoint = dy_endpoint_create(exchange->loop, &any, on_reply,
 						exchange, error);
 	if (exchange->endpoint) {
-		dy_loop_every(exchange->loop, TICK_MS, on_tick, exchange);
+		dy_loop_every(exchange->loop, TICK_INTERVAL_MS, on_tick,
+			      exchange);
 		dy_loop_run(exchange->loop);
 		dy_endpoint_destroy(exchange->endpoint);
 		ok = TRUE;
@@ -355,14 +360,15 @@
 	char **operands = NULL;
 	GError *error = NULL;
 
-	if (!dy_settings_load(argc, argv,
-			      "Make one call as a caller would, with arguments "
-			      "string:TEXT, uint:N,\nint:N or hex:DIGITS, and "
-			      "print what became of it.",
-			      settings, &operands, &error) ||
+	if (!dy_settings_load(
+		    argc, argv,
+		    "Make one call as a caller and print its outcome. "
+		    "The arguments are string:TEXT,\nuint:N, int:N "
+		    "or hex:DIGITS.",
+		    settings, &operands, &error) ||
 	    !prepare(&exchange, operands, &error) || !run(&exchange, &error))
-		exchange.code = dy_command_fail_usage("call", error);
+		exchange.exit_code = dy_command_fail_usage("call", error);
 	g_strfreev(operands);
 	dy_settings_clear(settings);
-	return exchange.code;
+	return exchange.exit_code;
 }
--- a/src/process/command/cmd_check.c
+++ b/src/process/command/cmd_check.c
@@ -58,13 +58,13 @@
 {
 	dy_flow_settings_t settings;
 	GError *error = NULL;
-	dy_flow_role_t as = DY_FLOW_BALANCER;
+	dy_flow_role_t flow_role = DY_FLOW_BALANCER;
 
 	if (!strcmp(role, "agent"))
-		as = DY_FLOW_AGENT;
+		flow_role = DY_FLOW_AGENT;
 	else if (!strcmp(role, "control"))
-		as = DY_FLOW_CONTROL;
-	if (!dy_flow_settings_load(&settings, path, as, &error)) {
+		flow_role = DY_FLOW_CONTROL;
+	if (!dy_flow_settings_load(&settings, path, flow_role, &error)) {
 		fprintf(stderr, "damaskyard check: %s: %s\n", path,
 			error->message);
 		g_error_free(error);
@@ -86,13 +86,13 @@
 		  .kind = DY_SETTING_TEXT,
 		  .value = &settings_path,
 		  .argument = "FILE",
-		  .help = "check settings of packet flows instead" },
+		  .help = "check a settings file of packet flows instead" },
 		{ .flag = "role",
 		  .kind = DY_SETTING_CHOICE,
 		  .value = &role,
 		  .fallback = "balancer",
 		  .argument = "balancer|agent|control",
-		  .help = "of --settings; balancer if not given" },
+		  .help = "role of the process that loads --settings; default balancer" },
 		{ 0 },
 	};
 	GError *error = NULL;
@@ -100,8 +100,8 @@
 	int code;
 
 	if (!dy_settings_load(argc, argv,
-			      "Check a document, DOCUMENT, without submitting "
-			      "it, or a file of settings.",
+			      "Check the file DOCUMENT without submitting it, "
+			      "or a settings file.",
 			      settings, &operands, &error))
 		return dy_command_fail_usage("check", error);
 	if (settings_path && !g_strv_length(operands)) {
--- a/src/process/command/cmd_evacuate.c
+++ b/src/process/command/cmd_evacuate.c
@@ -6,7 +6,7 @@
 	return operator_change_domain(
 		argc, argv,
 		"Open no new flow at targets of the failure domain DOMAIN; open "
-		"ones stay.",
+		"flows stay.",
 		DY_CHANGE_EVACUATE);
 }
 
--- a/src/process/command/cmd_promote.c
+++ b/src/process/command/cmd_promote.c
@@ -11,7 +11,7 @@
 	  .value = &number,
 	  .fallback = "0",
 	  .argument = "N",
-	  .help = "its number in production; 0 takes the next" },
+	  .help = "number of the document in production; 0: the next" },
 	{ 0 },
 };
 
@@ -20,12 +20,13 @@
 	dy_change_t change;
 	operator_t *op;
 
-	op = operator_load(argc, argv,
-			   "Put into production what is in force in trial.",
-			   settings, NULL);
+	op = operator_load(
+		argc, argv,
+		"Put the document in force in trial into production.", settings,
+		NULL);
 	if (!op)
 		return DY_EXIT_USAGE;
-	operator_begin_change(&change, DY_CHANGE_PROMOTE);
+	operator_init_change(&change, DY_CHANGE_PROMOTE);
 	change.number = number;
 	return operator_run_change(op, settings, &change);
 }
--- a/src/process/command/cmd_remove.c
+++ b/src/process/command/cmd_remove.c
@@ -4,6 +4,6 @@
 int dy_command_remove(int argc, char **argv)
 {
 	return operator_change_member(
-		argc, argv, "Strike the member NAME, which is lost for good.",
+		argc, argv, "Remove the member NAME, which is lost for good.",
 		DY_CHANGE_REMOVE);
 }
--- a/src/process/command/cmd_report.c
+++ b/src/process/command/cmd_report.c
@@ -6,7 +6,7 @@
 #include "operator_lines.h"
 #include "report.h"
 
-/* For the counters of one process, in ms: several tries. */
+/* Timeout for all counters of one process; allows several attempts. */
 #define PROCESS_TIMEOUT_MS 1500
 
 static char *environment;
@@ -19,27 +19,28 @@
 	  .value = &environment,
 	  .fallback = "production",
 	  .argument = DY_ENVIRONMENT_CHOICES,
-	  .help = "trial or production; production if not given" },
+	  .help = "environment; default production" },
 	{ .flag = "pairs",
 	  .kind = DY_SETTING_FLAG,
 	  .value = &pairs,
-	  .help = "print key=value lines for scripts, not a table" },
+	  .help = "print key=value lines for scripts instead of a table" },
 	{ 0 },
 };
 
-static void keep_address(void *context, const char *line)
+static void add_member_address(void *context, const char *line)
 {
 	GArray *addresses = context;
-	char *from = operator_line_value(line, "environment");
+	char *member_environment = operator_line_value(line, "environment");
 	char *state = operator_line_value(line, "state");
 	char *text = operator_line_value(line, "address");
 	dy_address_t address;
 
-	if (g_str_has_prefix(line, "member ") && from && text && state &&
-	    !strcmp(from, environment) && strcmp(state, "left") &&
-	    strcmp(state, "dead") && !dy_address_parse(text, &address))
+	if (g_str_has_prefix(line, "member ") && member_environment && text &&
+	    state && !strcmp(member_environment, environment) &&
+	    strcmp(state, "left") && strcmp(state, "dead") &&
+	    !dy_address_parse(text, &address))
 		g_array_append_val(addresses, address);
-	g_free(from);
+	g_free(member_environment);
 	g_free(state);
 	g_free(text);
 }
@@ -49,8 +50,9 @@
 	report_add_line(context, line);
 }
 
-/* Each process gets a short time; one that is silent is counted. */
-static void collect(operator_t *op, const GArray *addresses, report_t *report)
+/* Counts the processes that do not answer within their short timeout. */
+static void collect_counters(operator_t *op, const GArray *addresses,
+			     report_t *report)
 {
 	const dy_address_t *address;
 	guint i;
@@ -59,7 +61,7 @@
 		address = &g_array_index(addresses, dy_address_t, i);
 		report->processes++;
 		operator_set_timeout(op, PROCESS_TIMEOUT_MS);
-		if (operator_process_lines(op, address, add_line, report))
+		if (operator_fetch_process_lines(op, address, add_line, report))
 			report->silent++;
 	}
 	report_finish(report);
@@ -121,7 +123,7 @@
 	if (report->silent)
 		fprintf(stderr,
 			"damaskyard report: %u of %u processes did not answer; "
-			"what they counted is missing\n",
+			"their counters are missing\n",
 			report->silent, report->processes);
 }
 
@@ -132,15 +134,17 @@
 	int code = DY_EXIT_USAGE;
 	operator_t *op;
 
-	op = operator_load(argc, argv,
-			   "Print how fast each service uses up its error "
-			   "budget, and what burns it.",
-			   settings, NULL);
+	op = operator_load(
+		argc, argv,
+		"Print how fast each service burns its error budget, "
+		"and by which outcomes.",
+		settings, NULL);
 	if (op) {
-		if (operator_group_lines(op, keep_address, addresses)) {
+		if (operator_fetch_group_lines(op, add_member_address,
+					       addresses)) {
 			code = operator_fail_unanswered(op);
 		} else {
-			collect(op, addresses, report);
+			collect_counters(op, addresses, report);
 			print_report(report);
 			code = report->silent ? DY_EXIT_FAILED : DY_EXIT_OK;
 		}
--- a/src/process/command/cmd_rotate.c
+++ b/src/process/command/cmd_rotate.c
@@ -12,10 +12,12 @@
 	dy_change_t change;
 	operator_t *op;
 
-	op = operator_load(argc, argv, "Begin a new token key.", settings,
-			   NULL);
+	op = operator_load(
+		argc, argv,
+		"Add a new token key, which replaces the active one.", settings,
+		NULL);
 	if (!op)
 		return DY_EXIT_USAGE;
-	operator_begin_change(&change, DY_CHANGE_ROTATE);
+	operator_init_change(&change, DY_CHANGE_ROTATE);
 	return operator_run_change(op, settings, &change);
 }
--- a/src/process/command/cmd_status.c
+++ b/src/process/command/cmd_status.c
@@ -11,7 +11,7 @@
 	  .kind = DY_SETTING_ADDRESS,
 	  .value = &process,
 	  .argument = "IP:PORT",
-	  .help = "print the counters of the process there instead" },
+	  .help = "print the counters of the process at this address instead" },
 	{ 0 },
 };
 
@@ -26,9 +26,10 @@
 	int failed;
 
 	if (process.port) {
-		failed = operator_process_lines(op, &process, print_line, NULL);
+		failed = operator_fetch_process_lines(op, &process, print_line,
+						      NULL);
 	} else if (operator_values.controls.count) {
-		failed = operator_group_lines(op, print_line, NULL);
+		failed = operator_fetch_group_lines(op, print_line, NULL);
 	} else {
 		fputs("damaskyard status: --controls or --process is missing\n",
 		      stderr);
@@ -42,9 +43,10 @@
 	operator_t *op;
 	int code;
 
-	op = operator_load(argc, argv,
-			   "Print the group's state, or a process's counters.",
-			   settings, NULL);
+	op = operator_load(
+		argc, argv,
+		"Print the state of the group, or the counters of a process.",
+		settings, NULL);
 	if (!op)
 		return DY_EXIT_USAGE;
 	code = print_status(op);
--- a/src/process/command/cmd_submit.c
+++ b/src/process/command/cmd_submit.c
@@ -5,8 +5,11 @@
 #include "damaskyard/document.h"
 #include "operator.h"
 
-/* Uploads begun before it gives up: a leader may change under each. */
-#define UPLOADS 5
+/*
+ * Uploads before the command gives up. A change of leader during an upload
+ * requires another one.
+ */
+#define UPLOADS_MAX 5
 
 static struct {
 	char *environment;
@@ -21,19 +24,19 @@
 	  .value = &values.environment,
 	  .fallback = "trial",
 	  .argument = DY_ENVIRONMENT_CHOICES,
-	  .help = "where to put it in force" },
+	  .help = "environment; default trial" },
 	{ .flag = "number",
 	  .kind = DY_SETTING_NUMBER,
 	  .value = &values.number,
 	  .fallback = "0",
 	  .argument = "N",
-	  .help = "its number, one above the last; 0 takes the next" },
+	  .help = "number of the document, one above the last; 0: the next" },
 	{ 0 },
 };
 
-/* Returns the status of the last page, or UNAVAILABLE if it got no answer. */
-static dy_status_t put_document(operator_t *op, const dy_change_t *change,
-				char *bytes, uint32_t size)
+/* Returns the status of the last page sent, or UNAVAILABLE after a timeout. */
+static dy_status_t upload_document(operator_t *op, const dy_change_t *change,
+				   char *bytes, uint32_t size)
 {
 	dy_status_t status = DY_STATUS_OK;
 	dy_put_t put = { .size = size };
@@ -59,11 +62,12 @@
 }
 
 /*
- * The leader says NOT_FOUND until it holds the bytes; another leader does so
- * again. The request id stays the same throughout.
+ * Uploads the document if the leader answers NOT_FOUND, which it does until it
+ * holds the bytes; a new leader needs another upload. Every attempt has the
+ * same request id.
  */
-static int submit(operator_t *op, dy_change_t *change, char *bytes,
-		  uint32_t size)
+static int submit_document(operator_t *op, dy_change_t *change, char *bytes,
+			   uint32_t size)
 {
 	const operator_call_t call = {
 		.program = DY_CONTROL_PROGRAM,
@@ -81,10 +85,10 @@
 		if (operator_call(op, &call, &result))
 			return operator_fail_unanswered(op);
 		if (result.status != DY_STATUS_NOT_FOUND ||
-		    uploads++ == UPLOADS)
+		    uploads++ == UPLOADS_MAX)
 			break;
 		xdr_free(call.result_proc, (char *)&result);
-		if (put_document(op, change, bytes, size) ==
+		if (upload_document(op, change, bytes, size) ==
 		    DY_STATUS_UNAVAILABLE)
 			return operator_fail_unanswered(op);
 	}
@@ -103,12 +107,12 @@
 
 	if (!g_file_get_contents(path, &bytes, &len, &error))
 		return dy_command_fail_usage("submit", error);
-	operator_begin_change(&change, DY_CHANGE_SUBMIT);
+	operator_init_change(&change, DY_CHANGE_SUBMIT);
 	change.environment = values.environment;
 	change.number = values.number;
 	dy_document_digest(bytes, len, (uint8_t *)change.digest);
 	if (len && len <= DY_DOCUMENT_BYTES) {
-		code = submit(op, &change, bytes, (uint32_t)len);
+		code = submit_document(op, &change, bytes, (uint32_t)len);
 	} else {
 		fprintf(stderr,
 			"damaskyard submit: %s: %lu bytes are not allowed: "
@@ -126,7 +130,8 @@
 	operator_t *op;
 	int code;
 
-	op = operator_load(argc, argv, "Submit DOCUMENT to an environment.",
+	op = operator_load(argc, argv,
+			   "Submit the file DOCUMENT to an environment.",
 			   settings, &path);
 	if (!op)
 		return DY_EXIT_USAGE;
--- a/src/process/command/command.c
+++ b/src/process/command/command.c
@@ -13,8 +13,8 @@
 
 void dy_command_start_log(const char *level, const char *role)
 {
-	dy_log_level_t least = DY_LOG_INFO;
+	dy_log_level_t min_level = DY_LOG_INFO;
 
-	dy_log_parse_level(level, &least);
-	dy_log_configure(least, role);
+	dy_log_parse_level(level, &min_level);
+	dy_log_configure(min_level, role);
 }
--- a/src/process/command/command.h
+++ b/src/process/command/command.h
@@ -2,19 +2,22 @@
 #define DAMASKYARD_COMMAND_H
 
 /*
- * The subcommands, one file each. Each takes the arguments from its own name
- * on and returns the exit code of the process.
+ * The subcommands of the damaskyard program, one per file.
+ *
+ * Each function runs one subcommand. argv[0] is the name of the subcommand,
+ * argv[1] to argv[argc - 1] are its flags and operands. Returns the exit code
+ * of the process, one of DY_EXIT_*.
  */
 
 #include <glib.h>
 
-/* Values of --environment and --log-level. */
+/* Allowed values of --environment and of --log-level. */
 #define DY_ENVIRONMENT_CHOICES "trial|production"
 #define DY_LOG_CHOICES "debug|info|warn|error"
 
 #define DY_EXIT_OK 0
-#define DY_EXIT_FAILED 1 /* refused, not found, not answered */
-#define DY_EXIT_USAGE 2	 /* a wrong flag, setting or file */
+#define DY_EXIT_FAILED 1 /* refused, not found or no answer */
+#define DY_EXIT_USAGE 2	 /* invalid flag, setting or file */
 
 int dy_command_agent(int argc, char **argv);
 int dy_command_announce(int argc, char **argv);
@@ -36,12 +39,16 @@
 int dy_command_submit(int argc, char **argv);
 
 /*
- * Print "damaskyard NAME: message" to stderr, free error, and return
- * DY_EXIT_USAGE.
+ * Prints "damaskyard NAME: " and the message of error to stderr and frees
+ * error. name is the subcommand. Returns DY_EXIT_USAGE.
  */
 int dy_command_fail_usage(const char *name, GError *error);
 
-/* Log from now on at a level of DY_LOG_CHOICES, under the name of a role. */
+/*
+ * Configures the log. level is one of DY_LOG_CHOICES, the lowest level that is
+ * logged; any other text selects info. role is the name of this process in the
+ * log; it is not copied.
+ */
 void dy_command_start_log(const char *level, const char *role);
 
 #endif
--- a/src/process/command/main.c
+++ b/src/process/command/main.c
@@ -10,29 +10,33 @@
 } command_t;
 
 static const command_t commands[] = {
-	{ "agent", dy_command_agent, "serve one target, beside it" },
+	{ "agent", dy_command_agent, "run the agent beside one target" },
 	{ "announce", dy_command_announce, "announce a target to its agent" },
 	{ "balancer", dy_command_balancer, "forward datagrams to agents" },
-	{ "call", dy_command_call, "make one call as a caller would" },
+	{ "call", dy_command_call, "make one call as a caller" },
 	{ "check", dy_command_check, "check a document" },
-	{ "control", dy_command_control, "run one of the control group" },
+	{ "control", dy_command_control, "run one control of the group" },
 	{ "drain", dy_command_drain, "take a member out of service" },
 	{ "evacuate", dy_command_evacuate,
-	  "take the targets of a failure domain out of service" },
+	  "open no new flow at targets of a failure domain" },
 	{ "flow-agent", dy_command_flow_agent,
-	  "serve one target's packet flows" },
+	  "run the agent for one target's packet flows" },
 	{ "flow-balancer", dy_command_flow_balancer,
-	  "forward packets of flows" },
+	  "forward packets of flows to agents" },
 	{ "flow-control", dy_command_flow_control,
-	  "run a control beside packet flows" },
+	  "run one control for packet flows" },
 	{ "promote", dy_command_promote,
-	  "put trial's document into production" },
-	{ "readmit", dy_command_readmit, "take an evacuated domain back" },
-	{ "remove", dy_command_remove, "strike a member that is lost" },
-	{ "report", dy_command_report, "print service-level burn" },
-	{ "rotate", dy_command_rotate, "begin a new token key" },
-	{ "status", dy_command_status, "print the group or a process" },
-	{ "submit", dy_command_submit, "submit a document to trial" },
+	  "put the document of trial into production" },
+	{ "readmit", dy_command_readmit,
+	  "end the evacuation of a failure domain" },
+	{ "remove", dy_command_remove,
+	  "remove a member that is lost for good" },
+	{ "report", dy_command_report,
+	  "print the error budget burn of each service" },
+	{ "rotate", dy_command_rotate, "rotate the token key" },
+	{ "status", dy_command_status,
+	  "print the state of the group or of a process" },
+	{ "submit", dy_command_submit, "submit a document to an environment" },
 	{ NULL, NULL, NULL },
 };
 
@@ -41,7 +45,7 @@
 	const command_t *command;
 
 	fputs("Usage: damaskyard COMMAND [--help] [FLAG...]\n\n"
-	      "A layer-4 load balancer whose flows outlive planned changes.\n\n"
+	      "A layer-4 load balancer whose flows survive planned changes.\n\n"
 	      "Commands:\n",
 	      out);
 	for (command = commands; command->name; command++)
@@ -78,7 +82,7 @@
 	command = find_command(argv[1]);
 	if (!command) {
 		fprintf(stderr,
-			"damaskyard: there is no command \"%s\"; "
+			"damaskyard: unknown command \"%s\"; "
 			"see damaskyard --help\n",
 			argv[1]);
 		return DY_EXIT_USAGE;
--- a/src/process/command/operator.c
+++ b/src/process/command/operator.c
@@ -10,18 +10,18 @@
 #include "damaskyard/seal.h"
 
 /*
- * A control that has not answered by then is passed over, in ms: a hundred
- * round trips between failure domains, with a synced write in each.
+ * Timeout of one attempt, after which the next control is tried: 100 round
+ * trips between failure domains, with a synced write in each.
  */
-#define TRY_MS 500
+#define ATTEMPT_TIMEOUT_MS 500
 
-/* Before the next control is asked while there is no leader, in ms. */
-#define PAUSE_MS 50
+/* Pause before the next attempt while no leader serves. */
+#define RETRY_INTERVAL_MS 50
 
-#define TICK_MS 10
+#define TICK_INTERVAL_MS 10
 
-/* Bytes of a call at most: a page of a document with its heads. */
-#define CALL_BYTES (DY_PAGE_BYTES + 2048)
+/* Largest call: a page of a document with its headers. */
+#define CALL_MAX_BYTES (DY_PAGE_BYTES + 2048)
 
 operator_values_t operator_values;
 
@@ -32,12 +32,12 @@
 	dy_loop_t *loop;
 	dy_endpoint_t *endpoint;
 	dy_seal_t *seal;
-	uint64_t give_up_ms;
-	int asks_process; /* not the group */
+	uint64_t deadline_ms;
+	int calls_process; /* the call goes to one process, not to the group */
 	uint64_t wake_ms;
-	dy_address_t control;
-	int next_control;
-	/* The call that is waited for. */
+	dy_address_t current_control;
+	int control_index;
+	/* The call in progress, or NULL. */
 	const operator_call_t *call;
 	uint32_t xid;
 	void *result;
@@ -77,13 +77,13 @@
 		dy_loop_end(op->loop);
 }
 
-static void sleep_until(operator_t *op, uint64_t wake_ms)
+static void run_loop_until(operator_t *op, uint64_t wake_ms)
 {
-	op->wake_ms = MIN(wake_ms, op->give_up_ms);
+	op->wake_ms = MIN(wake_ms, op->deadline_ms);
 	dy_loop_run(op->loop);
 }
 
-/* Bind to any port, of the family of the one who is spoken to. */
+/* Binds to any port, in the address family of peer. */
 static int open_endpoint(operator_t *op, const dy_address_t *peer,
 			 GError **error)
 {
@@ -111,10 +111,10 @@
 	op->metrics = dy_metrics_create();
 	op->loop = dy_loop_create(op->metrics);
 	op->seal = dy_seal_create(&secrets, op->metrics);
-	op->give_up_ms = now_ms(op) + operator_values.timeout_ms;
-	dy_loop_every(op->loop, TICK_MS, on_tick, op);
+	op->deadline_ms = now_ms(op) + operator_values.timeout_ms;
+	dy_loop_every(op->loop, TICK_INTERVAL_MS, on_tick, op);
 	if (controls->count)
-		op->control = controls->items[0];
+		op->current_control = controls->items[0];
 	return op;
 }
 
@@ -129,13 +129,13 @@
 	g_free(op);
 }
 
-/* Send once and wait; returns 0 if it was answered. */
+/* Sends a call once and waits for the answer. Returns 0 if it arrives. */
 static int try_call(operator_t *op, const dy_address_t *to,
 		    const operator_call_t *call, void *result)
 {
 	dy_seal_head_t head = { dy_seal_next_xid(op->seal), call->program,
 				call->procedure };
-	uint8_t out[CALL_BYTES];
+	uint8_t out[CALL_MAX_BYTES];
 	size_t len;
 
 	if (!op->endpoint && open_endpoint(op, to, NULL))
@@ -149,13 +149,13 @@
 	op->result = result;
 	op->answered = 0;
 	dy_endpoint_send_to(op->endpoint, out, len, to);
-	sleep_until(op, now_ms(op) + TRY_MS);
+	run_loop_until(op, now_ms(op) + ATTEMPT_TIMEOUT_MS);
 	op->call = NULL;
 	return op->answered ? 0 : -1;
 }
 
-static dy_status_t status_of(const operator_call_t *call, const void *result,
-			     dy_address_t *leader)
+static dy_status_t result_status(const operator_call_t *call,
+				 const void *result, dy_address_t *leader)
 {
 	const dy_change_result_t *change = result;
 	const dy_inspect_result_t *inspect = result;
@@ -172,12 +172,12 @@
 	return *(const dy_status_t *)result;
 }
 
-static void choose_next(operator_t *op)
+static void choose_next_control(operator_t *op)
 {
 	const dy_address_list_t *controls = &operator_values.controls;
 
-	op->next_control = (op->next_control + 1) % controls->count;
-	op->control = controls->items[op->next_control];
+	op->control_index = (op->control_index + 1) % controls->count;
+	op->current_control = controls->items[op->control_index];
 }
 
 int operator_call(operator_t *op, const operator_call_t *call, void *result)
@@ -185,22 +185,22 @@
 	dy_address_t leader;
 	dy_status_t status;
 
-	while (now_ms(op) < op->give_up_ms) {
-		if (try_call(op, &op->control, call, result)) {
-			choose_next(op);
+	while (now_ms(op) < op->deadline_ms) {
+		if (try_call(op, &op->current_control, call, result)) {
+			choose_next_control(op);
 			continue;
 		}
-		status = status_of(call, result, &leader);
+		status = result_status(call, result, &leader);
 		if (status != DY_STATUS_NOT_LEADER &&
 		    status != DY_STATUS_UNAVAILABLE)
 			return 0;
 		xdr_free(call->result_proc, result);
 		if (leader.port && status == DY_STATUS_NOT_LEADER &&
-		    !dy_address_equal(&leader, &op->control))
-			op->control = leader;
+		    !dy_address_equal(&leader, &op->current_control))
+			op->current_control = leader;
 		else
-			choose_next(op);
-		sleep_until(op, now_ms(op) + PAUSE_MS);
+			choose_next_control(op);
+		run_loop_until(op, now_ms(op) + RETRY_INTERVAL_MS);
 	}
 	return -1;
 }
@@ -208,15 +208,15 @@
 int operator_call_process(operator_t *op, const dy_address_t *address,
 			  const operator_call_t *call, void *result)
 {
-	op->asks_process = 1;
-	while (now_ms(op) < op->give_up_ms)
+	op->calls_process = 1;
+	while (now_ms(op) < op->deadline_ms)
 		if (!try_call(op, address, call, result))
 			return 0;
 	return -1;
 }
 
-/* Without --request-id, one that nobody else has. */
-static void name_request(void)
+/* Sets a random request id if --request-id is missing. */
+static void ensure_request_id(void)
 {
 	uint8_t bytes[16];
 	unsigned i;
@@ -230,7 +230,7 @@
 			   "%02x", bytes[i]);
 }
 
-void operator_begin_change(dy_change_t *change, dy_change_kind_t kind)
+void operator_init_change(dy_change_t *change, dy_change_kind_t kind)
 {
 	uint8_t digest[DY_DIGEST_BYTES];
 
@@ -241,7 +241,7 @@
 					: (char *)g_get_user_name();
 	change->environment = "";
 	change->name = "";
-	name_request();
+	ensure_request_id();
 	dy_document_digest(operator_values.request_id,
 			   strlen(operator_values.request_id), digest);
 	memcpy(change->request, digest, sizeof(change->request));
@@ -261,12 +261,12 @@
 int operator_fail_unanswered(const operator_t *op)
 {
 	fprintf(stderr, "damaskyard %s: %s within %lu ms", op->command,
-		op->asks_process ? "the process did not answer"
-				 : "no leader of the control group answered",
+		op->calls_process ? "the process did not answer"
+				  : "no leader of the control group answered",
 		(unsigned long)operator_values.timeout_ms);
 	if (operator_values.request_id)
 		fprintf(stderr,
-			"; it may have been made: send it again with "
+			"; the change may have been made: send it again with "
 			"--request-id %s",
 			operator_values.request_id);
 	fputc('\n', stderr);
@@ -389,7 +389,7 @@
 
 void operator_set_timeout(operator_t *op, uint64_t timeout_ms)
 {
-	op->give_up_ms = now_ms(op) + timeout_ms;
+	op->deadline_ms = now_ms(op) + timeout_ms;
 }
 
 static char *member_environment;
@@ -401,13 +401,13 @@
 	  .kind = DY_SETTING_CHOICE,
 	  .value = &member_environment,
 	  .argument = DY_ENVIRONMENT_CHOICES,
-	  .help = "needed where two environments have the name" },
+	  .help = "required if the name is in both environments" },
 	{ 0 },
 };
 
-/* The whole of a command that makes one change to what its operand names. */
-static int change_named(int argc, char **argv, const char *summary,
-			const dy_setting_t *settings, dy_change_kind_t kind)
+/* Runs a command that makes one change to the member or domain it names. */
+static int change_by_name(int argc, char **argv, const char *summary,
+			  const dy_setting_t *settings, dy_change_kind_t kind)
 {
 	char *name = NULL;
 	dy_change_t change;
@@ -417,7 +417,7 @@
 	op = operator_load(argc, argv, summary, settings, &name);
 	if (!op)
 		return DY_EXIT_USAGE;
-	operator_begin_change(&change, kind);
+	operator_init_change(&change, kind);
 	if (settings == member_settings && member_environment)
 		change.environment = member_environment;
 	change.name = name;
@@ -429,7 +429,7 @@
 int operator_change_member(int argc, char **argv, const char *summary,
 			   dy_change_kind_t kind)
 {
-	return change_named(argc, argv, summary, member_settings, kind);
+	return change_by_name(argc, argv, summary, member_settings, kind);
 }
 
 static const dy_setting_t domain_settings[] = {
@@ -441,5 +441,5 @@
 int operator_change_domain(int argc, char **argv, const char *summary,
 			   dy_change_kind_t kind)
 {
-	return change_named(argc, argv, summary, domain_settings, kind);
+	return change_by_name(argc, argv, summary, domain_settings, kind);
 }
--- a/src/process/command/operator.h
+++ b/src/process/command/operator.h
@@ -2,10 +2,12 @@
 #define DAMASKYARD_OPERATOR_H
 
 /*
- * An operator's side of control: what submit, promote, drain, remove, rotate
- * and status share. Finds the leader among --controls and sends a call again
- * while its answer is lost; a change keeps its request id, so that it is made
- * once however often it is sent.
+ * Client of the control group for the operator commands (submit, promote,
+ * drain, remove, rotate, evacuate, readmit, status, report).
+ *
+ * It finds the leader among --controls and retries a call that gets no answer.
+ * A change keeps its request id across retries, so the group makes it once
+ * however often it is sent.
  */
 
 #include <stdint.h>
@@ -24,119 +26,145 @@
 	char *request_id;
 } operator_values_t;
 
-/* What the settings below are loaded into. */
+/* Values of the flags below, filled in by operator_load(). */
 extern operator_values_t operator_values;
 
 /*
- * Flags of every operator's command; a part of its table of settings.
- * needs_controls: whether --controls must be given.
+ * Flags of every operator command: rows of its dy_setting_t table.
+ * needs_controls is TRUE if --controls is required.
  */
-#define OPERATOR_SETTINGS(needs_controls)                                  \
-	{ .flag = "controls",                                              \
-	  .kind = DY_SETTING_ADDRESSES_LIST,                               \
-	  .value = &operator_values.controls,                              \
-	  .required = (needs_controls),                                    \
-	  .argument = "IP:PORT,...",                                       \
-	  .help = "the control group" },                                   \
-		{ .flag = "key-file",                                      \
-		  .kind = DY_SETTING_TEXT,                                 \
-		  .value = &operator_values.key_file,                      \
-		  .required = TRUE,                                        \
-		  .argument = "FILE",                                      \
-		  .help = "the group's key" },                             \
-		{ .flag = "operator",                                      \
-		  .kind = DY_SETTING_NAME,                                 \
-		  .value = &operator_values.name,                          \
-		  .argument = "NAME",                                      \
-		  .help = "who does it; else the user's name" },           \
-	{                                                                  \
-		.flag = "timeout-ms", .kind = DY_SETTING_NUMBER,           \
-		.value = &operator_values.timeout_ms, .fallback = "10000", \
-		.least = 100, .most = 600000, .argument = "MS",            \
-		.help = "give up after so long without an answer"          \
+#define OPERATOR_SETTINGS(needs_controls)                                    \
+	{ .flag = "controls",                                                \
+	  .kind = DY_SETTING_ADDRESSES_LIST,                                 \
+	  .value = &operator_values.controls,                                \
+	  .required = (needs_controls),                                      \
+	  .argument = "IP:PORT,...",                                         \
+	  .help = "addresses of the control group" },                        \
+		{ .flag = "key-file",                                        \
+		  .kind = DY_SETTING_TEXT,                                   \
+		  .value = &operator_values.key_file,                        \
+		  .required = TRUE,                                          \
+		  .argument = "FILE",                                        \
+		  .help = "file with the key of the group" },                \
+		{ .flag = "operator",                                        \
+		  .kind = DY_SETTING_NAME,                                   \
+		  .value = &operator_values.name,                            \
+		  .argument = "NAME",                                        \
+		  .help = "name of the operator; default the user's name" }, \
+	{                                                                    \
+		.flag = "timeout-ms", .kind = DY_SETTING_NUMBER,             \
+		.value = &operator_values.timeout_ms, .fallback = "10000",   \
+		.least = 100, .most = 600000, .argument = "MS",              \
+		.help = "timeout for an answer; default 10000"               \
 	}
 
-/* The flag of every command that makes a change, beside those above. */
-#define OPERATOR_REQUEST_SETTING                                            \
-	{                                                                   \
-		.flag = "request-id", .kind = DY_SETTING_NAME,              \
-		.value = &operator_values.request_id, .argument = "ID",     \
-		.help = "name of this change: sent again, it is made once " \
-			"and gets the first answer"                         \
+/* Flag that every command that makes a change has in addition. */
+#define OPERATOR_REQUEST_SETTING                                           \
+	{                                                                  \
+		.flag = "request-id", .kind = DY_SETTING_NAME,             \
+		.value = &operator_values.request_id, .argument = "ID",    \
+		.help = "id of this change: sent again with the same id, " \
+			"it is made once and gets the first answer"        \
 	}
 
 typedef struct operator operator_t;
 
 /*
- * Create from operator_values, for a command of that name, which is kept by
- * reference. The time to give up starts now. Returns NULL with error set.
+ * Creates an operator from operator_values. command is the name of the
+ * subcommand for messages; it is not copied and must outlive the operator.
+ * The timeout starts now. Returns NULL with error set if the key file cannot
+ * be loaded.
  */
 operator_t *operator_create(const char *command, GError **error);
+
+/* Frees op, which may be NULL. */
 void operator_destroy(operator_t *op);
 
+/* One ONC RPC call and the XDR functions of its arguments and result. */
 typedef struct operator_call {
 	uint32_t program;
 	uint32_t procedure;
 	xdrproc_t args_proc;
 	void *args;
 	xdrproc_t result_proc;
-	size_t result_size;
+	size_t result_size; /* of the decoded result, in bytes */
 } operator_call_t;
 
 /*
- * Make a call of the leader. Returns 0 with result decoded, its status not
- * NOT_LEADER or UNAVAILABLE, to be freed with xdr_free(); or -1 after the
- * timeout.
+ * Sends a call to the leader of the control group and waits for the answer.
+ * Retries at another control while a control does not answer, or answers
+ * NOT_LEADER or UNAVAILABLE. Returns 0 with result decoded, which the caller
+ * frees with xdr_free(), or -1 after the timeout.
  */
 int operator_call(operator_t *op, const operator_call_t *call, void *result);
 
-/* Give up this many milliseconds from now, whatever --timeout-ms says. */
+/* Restarts the timeout with timeout_ms in place of --timeout-ms. */
 void operator_set_timeout(operator_t *op, uint64_t timeout_ms);
 
-/* Make a call of one process. Returns 0, or -1 after the timeout. */
+/*
+ * Sends a call to the process at address and retries until it answers.
+ * Returns 0 with result decoded, which the caller frees with xdr_free(), or -1
+ * after the timeout.
+ */
 int operator_call_process(operator_t *op, const dy_address_t *address,
 			  const operator_call_t *call, void *result);
 
 /*
- * Fill in a change's operator and its request id: of --request-id, or a
- * fresh one.
+ * Clears change and sets its kind, its operator and its request id. The
+ * request id is derived from --request-id, or from a random id if the flag is
+ * missing. The strings of change are borrowed from operator_values.
  */
-void operator_begin_change(dy_change_t *change, dy_change_kind_t kind);
+void operator_init_change(dy_change_t *change, dy_change_kind_t kind);
 
 /*
- * Make a change and print what came of it: "result=accepted key=value..." to
- * stdout, or one line that begins with the command to stderr. Returns the
- * exit code.
+ * Sends a change to the leader and prints the result: "result=accepted
+ * key=value..." to stdout, or one line that starts with "damaskyard COMMAND: "
+ * to stderr. Returns the exit code.
  */
 int operator_make_change(operator_t *op, dy_change_t *change);
 
-/* As above, for a change that was made already. */
+/* Prints the result of a change as above. Returns the exit code. */
 int operator_print_change(const operator_t *op, const dy_change_t *change,
 			  const dy_change_result_t *result);
 
-/* Print that nobody answered; returns the exit code. */
+/*
+ * Prints to stderr that the call timed out, with the request id to retry a
+ * change with. Returns the exit code.
+ */
 int operator_fail_unanswered(const operator_t *op);
 
 /*
- * Load settings with at most one operand, which is required if operand is
- * not NULL. Returns an operator, or NULL after the error was printed.
+ * Loads settings from the flags and creates an operator. If operand is not
+ * NULL, exactly one operand is required and a copy of it, to free with
+ * g_free(), is stored there; else none is allowed. argv[0] is not copied.
+ * Returns NULL after an error, which was printed; the exit code is then
+ * DY_EXIT_USAGE.
  */
 operator_t *operator_load(int argc, char **argv, const char *summary,
 			  const dy_setting_t *settings, char **operand);
 
-/* The whole of a command that makes one change to the member NAME. */
+/*
+ * Runs a command whose operand is the name of a member and that makes one
+ * change of that kind to it. Returns the exit code.
+ */
 int operator_change_member(int argc, char **argv, const char *summary,
 			   dy_change_kind_t kind);
 
-/* The whole of a command that makes one change to the failure domain DOMAIN. */
+/*
+ * Runs a command whose operand is a failure domain and that makes one change
+ * of that kind to it. Returns the exit code.
+ */
 int operator_change_domain(int argc, char **argv, const char *summary,
 			   dy_change_kind_t kind);
 
-/* The whole of a command that makes one change and has no other flags. */
+/*
+ * Makes a change with operator_make_change(), then destroys op and clears
+ * settings. Returns the exit code.
+ */
 int operator_run_change(operator_t *op, const dy_setting_t *settings,
 			dy_change_t *change);
 
-/* Returns the name of a status, as commands print it. */
+/* Returns the printed name of a status, a static string. */
 const char *operator_status_name(dy_status_t status);
 
 #endif
--- a/src/process/command/operator_lines.c
+++ b/src/process/command/operator_lines.c
@@ -2,9 +2,9 @@
 
 #include <string.h>
 
-/* Returns the number of lines in the page. */
-static unsigned give_lines(const char *page, operator_line_cb_t *each,
-			   void *context)
+/* Calls each() for the lines of a page. Returns the number of lines. */
+static unsigned for_each_line(const char *page, operator_line_cb_t *each,
+			      void *context)
 {
 	char **lines = g_strsplit(page, "\n", -1);
 	unsigned count;
@@ -15,7 +15,10 @@
 	return count;
 }
 
-/* A page without a line would be the last one, whatever it says. */
+/*
+ * Stops after a page without lines even if it says that more follow: the next
+ * request would be for the same page again.
+ */
 static int fetch_lines(operator_t *op, const dy_address_t *address,
 		       operator_call_t *call, operator_line_cb_t *each,
 		       void *context)
@@ -33,7 +36,7 @@
 		if (address ? operator_call_process(op, address, call, &result)
 			    : operator_call(op, call, &result))
 			return -1;
-		lines = give_lines(result.lines, each, context);
+		lines = for_each_line(result.lines, each, context);
 		args.from += lines;
 		more = result.more && lines;
 		xdr_free(call->result_proc, (char *)&result);
@@ -41,8 +44,8 @@
 	return 0;
 }
 
-int operator_group_lines(operator_t *op, operator_line_cb_t *each,
-			 void *context)
+int operator_fetch_group_lines(operator_t *op, operator_line_cb_t *each,
+			       void *context)
 {
 	operator_call_t call = { .program = DY_CONTROL_PROGRAM,
 				 .procedure = DY_CONTROL_INSPECT };
@@ -50,8 +53,8 @@
 	return fetch_lines(op, NULL, &call, each, context);
 }
 
-int operator_process_lines(operator_t *op, const dy_address_t *address,
-			   operator_line_cb_t *each, void *context)
+int operator_fetch_process_lines(operator_t *op, const dy_address_t *address,
+				 operator_line_cb_t *each, void *context)
 {
 	operator_call_t call = { .program = DY_STATUS_PROGRAM,
 				 .procedure = DY_STATUS_COUNTERS };
--- a/src/process/command/operator_lines.h
+++ b/src/process/command/operator_lines.h
@@ -2,29 +2,31 @@
 #define DAMASKYARD_OPERATOR_LINES_H
 
 /*
- * The lines of key=value pairs in which control tells its state and every
- * process its counters, fetched page by page.
+ * Fetches the state of the control group, or the counters of one process.
+ * Both are text lines of key=value pairs that arrive in pages.
  */
 
 #include "operator.h"
 
-/* line has no newline and is valid during the call. */
+/* Called for each line. line has no newline; it is valid during the call. */
 typedef void operator_line_cb_t(void *context, const char *line);
 
 /*
- * Give every line of the group's state to each(). Returns 0, or -1 if the
- * group did not answer before the timeout; lines given so far stand.
+ * Fetches the state of the group from its leader and calls each() for every
+ * line. Returns 0, or -1 if a page does not arrive before the timeout; each()
+ * was then called for the lines of earlier pages.
  */
-int operator_group_lines(operator_t *op, operator_line_cb_t *each,
-			 void *context);
+int operator_fetch_group_lines(operator_t *op, operator_line_cb_t *each,
+			       void *context);
 
-/* The same of one process's counters. */
-int operator_process_lines(operator_t *op, const dy_address_t *address,
-			   operator_line_cb_t *each, void *context);
+/* Does the same for the counters of the process at address. */
+int operator_fetch_process_lines(operator_t *op, const dy_address_t *address,
+				 operator_line_cb_t *each, void *context);
 
 /*
- * Returns the value of a key in a line, to be freed, or NULL if the key does
- * not stand there. Values with spaces are quoted and no key needs them here.
+ * Returns a copy of the value of key in line, to free with g_free(), or NULL
+ * if line has no such key. The value ends at the first space, so a quoted value
+ * with spaces is cut; the keys that are read here have none.
  */
 char *operator_line_value(const char *line, const char *key);
 
