--- a/proto/dy_agent.x
+++ b/proto/dy_agent.x
@@ -1,7 +1,7 @@
 /*
- * Between balancers and agents, and between agents: internal. Every message
- * is an ONC RPC call in a sealed credential (include/damaskyard/seal.h);
- * FORWARD, ANSWER and BOUNCE have no reply.
+ * Interface between balancers and agents, and between agents. Internal. Every
+ * message is an ONC RPC call with a sealed credential
+ * (include/damaskyard/seal.h). FORWARD, ANSWER and BOUNCE have no reply.
  */
 
 #ifdef RPC_HDR
@@ -14,8 +14,9 @@
 const DY_TOKEN_MAC_BYTES = 16;
 
 /*
- * What the caller's credential holds. It names the agent's address too, so
- * that a balancer which does not know the agent yet can forward the flow.
+ * Session token, the body of the caller's credential. It includes the address
+ * of the agent, so that a balancer that does not have the agent in its state
+ * yet can forward the flow.
  */
 struct dy_token_t {
 	unsigned int key_id;
@@ -27,15 +28,15 @@
 	opaque mac[DY_TOKEN_MAC_BYTES];
 };
 
-/* The balancer looked at this; the agent checks all of it again. */
+/* A call of a caller. The balancer validated it; the agent does so again. */
 struct dy_forward_t {
-	unsigned hyper service;		/* for whose address it came */
-	unsigned hyper agent;		/* for whom it is meant */
+	unsigned hyper service;		/* at whose address it arrived */
+	unsigned hyper agent;		/* the destination */
 	unsigned hyper incarnation;
 	unsigned hyper state_version;		/* of the sender's state */
 	dy_address_t caller;
 	dy_address_t reply_to;		/* the balancer; port 0: the sender */
-	unsigned hyper socket;		/* the balancer's, echoed */
+	unsigned hyper socket;		/* of the balancer; echoed */
 	unsigned int hops;		/* agents and balancers passed */
 	opaque datagram<DY_DATAGRAM_BYTES>;
 };
@@ -51,7 +52,10 @@
 	opaque datagram<DY_DATAGRAM_BYTES>;
 };
 
-/* The agent has not run it and never will; pick another target. */
+/*
+ * The agent did not run the call and never will; the balancer chooses another
+ * target.
+ */
 struct dy_bounce_t {
 	dy_forward_t forward;
 	dy_load_t load;
--- a/proto/dy_flow.x
+++ b/proto/dy_flow.x
@@ -1,6 +1,7 @@
 /*
- * Packet flows: between balancers and agents, and between agents. Internal.
- * Every message is an ONC RPC call in a sealed credential; none has a reply.
+ * Interface for packet flows between balancers and agents, and between agents.
+ * Internal. Every message is an ONC RPC call with a sealed credential; none
+ * has a reply.
  */
 
 #ifdef RPC_HDR
@@ -10,13 +11,13 @@
 %#include "dy_wire.h"
 #endif
 
-/* The largest packet with its head, in bytes. */
+/* Largest packet with its headers. */
 const DY_PACKET_BYTES = 1280;
 
-/* Agents that one packet may be tried at. */
+/* Largest number of agents in one forward. */
 const DY_FLOW_TRIES = 16;
 
-/* A flow's name: its two ends, IPv4 numbers and ports in host order. */
+/* Both ends of a flow: IPv4 addresses and ports in host byte order. */
 struct dy_flow_id_t {
 	unsigned int caller_ip;
 	unsigned int entry_ip;
@@ -24,66 +25,68 @@
 	unsigned int entry_port;
 };
 
-/* What an agent says of its target with everything that it sends. */
+/* Load of an agent's target; part of every message of the agent. */
 struct dy_flow_load_t {
 	unsigned int slots;
 	unsigned int flows;	/* open or opening */
-	unsigned int busy;	/* requests begun and not answered */
-	bool accepts;		/* takes opening packets */
-	bool cold;		/* started a short time ago: slower */
+	unsigned int busy;	/* requests in progress */
+	bool accepts;		/* accepts opening packets */
+	bool cold;		/* started recently, so it is slower */
 };
 
 /*
- * A packet of a caller. The agent at tries[step] holds the flow, or passes
- * the message to the next.
+ * A packet of a caller. The agent at tries[step] delivers it if it holds the
+ * flow; otherwise it relays the message to the next agent of tries.
  */
 struct dy_flow_forward_t {
 	string service<DY_NAME_BYTES>;
-	dy_address_t balancer;	/* is told who holds the flow */
+	dy_address_t balancer;	/* receives HELD and NOWHERE */
 	unsigned int step;
-	unsigned int window;	/* of a search; 0: to the one that holds it */
-	bool complete;		/* no agent is left to be tried after these */
-	bool tell;		/* the balancer does not know the holder */
-	bool certain;		/* each agent before this step knew for sure */
+	unsigned int window;	/* of a search; 0: sent to the holder */
+	bool complete;		/* tries has the last agents to search */
+	bool tell;		/* the balancer lacks the holder: reply HELD */
+	bool certain;		/* agents before step surely do not hold it */
 	dy_address_t tries<DY_FLOW_TRIES>;
 	opaque packet<DY_PACKET_BYTES>;
-	unsigned int order;	/* that the search goes by, for its balancer */
-	/* Openings in 1,000 s that a cold target of the service bears; 0: any. */
+	unsigned int order;	/* version of the balancer's search order */
+	/* Openings per 1,000 s that a cold target can accept; 0: no limit. */
 	unsigned int cold_openings;
 };
 
-/* The sender holds the flow. */
+/* The agent holds the flow. */
 struct dy_flow_held_t {
 	dy_flow_id_t flow;
 	dy_address_t agent;
-	bool open;		/* its target has the end of the handshake */
+	bool open;		/* the target received the final ACK */
 	dy_flow_load_t load;
 };
 
 enum dy_flow_reason_t {
 	DY_FLOW_NOT_HELD = 1,	/* a packet in the middle of a flow */
-	DY_FLOW_REFUSED = 2	/* an opening packet that nobody takes */
+	DY_FLOW_REFUSED = 2	/* an opening packet that no agent accepts */
 };
 
-/* None of the agents that were tried has the flow. */
+/* None of the agents in tries holds the flow. */
 struct dy_flow_nowhere_t {
 	dy_flow_id_t flow;
-	dy_address_t agent;	/* the last that was tried */
+	dy_address_t agent;	/* the last one in tries */
 	dy_flow_reason_t reason;
 	unsigned int window;	/* of the forward */
 	bool complete;		/* of the forward */
-	bool certain;		/* each that was tried knew for sure */
+	bool certain;		/* all agents in tries surely do not hold it */
 	opaque packet<DY_PACKET_BYTES>;
-	unsigned int order;	/* of the forward; 0: of an older agent */
+	unsigned int order;	/* of the forward; 0: from an older agent */
 };
 
+/* Periodic report of an agent to a balancer. */
 struct dy_flow_report_t {
 	dy_address_t agent;
 	dy_flow_load_t load;
-	unsigned int heard;	/* messages straight from the balancer; 0: not counted */
+	/* Messages received directly from the balancer; 0: not counted. */
+	unsigned int heard;
 };
 
-/* An agent that says nothing is to report, if it can. */
+/* Requests a report from an agent that is silent. */
 struct dy_flow_ask_t {
 	dy_address_t balancer;
 };
--- a/proto/dy_group.x
+++ b/proto/dy_group.x
@@ -1,6 +1,6 @@
 /*
- * Between the controls of one group: internal, sealed, over UDP. Neither
- * call has a reply; an answer to HELLO is a HELLO of its own.
+ * Interface between the controls of one group. Internal, sealed, over UDP. No
+ * call has a reply; HELLO is answered by another HELLO.
  */
 
 #ifdef RPC_HDR
@@ -13,36 +13,37 @@
 #endif
 
 /*
- * What a control says of itself before it is in the group. echo is the seal's
- * sender number of the one it answers, or 0: only an answer that was given
- * after this process started counts towards founding.
+ * Description of a control that is not in the group yet. echo is the seal's
+ * sender number of the HELLO that it answers, or 0. The number is new at each
+ * start, so bootstrap counts only answers sent after this process started.
  */
 struct dy_hello_t {
 	unsigned hyper group;
 	dy_voter_id_t id;
-	bool empty;			/* its store holds nothing */
-	bool answer;			/* the receiver is to answer */
+	bool empty;			/* its store is empty */
+	bool answer;			/* requests an answer */
 	unsigned hyper echo;
 };
 
 /*
- * A control that knows no more than some addresses of the group asks for its
- * place in it. identity is 0 if its store is empty.
+ * Slot claim of a control that has only some addresses of the group. identity
+ * is 0 if its store is empty.
  */
 struct dy_find_t {
 	unsigned hyper group;
 	dy_voter_id_t id;
-	unsigned hyper echo;		/* returned, so that answers match */
+	unsigned hyper echo;		/* echoed, to match the answer */
 };
 
 enum dy_place_status_t {
-	DY_PLACE_UNKNOWN = 0,	/* no leader is known here */
-	DY_PLACE_ASK = 1,	/* ask the leader */
-	DY_PLACE_GIVEN = 2,	/* take this slot */
+	DY_PLACE_UNKNOWN = 0,	/* not decided, as without a leader */
+	DY_PLACE_ASK = 1,	/* retry at the leader */
+	DY_PLACE_GIVEN = 2,	/* the slot is assigned */
 	DY_PLACE_HELD = 3,	/* the identity is a member */
-	DY_PLACE_LOST = 4	/* the identity is no member any more */
+	DY_PLACE_LOST = 4	/* the identity is no longer a member */
 };
 
+/* Slot and address of one control of the group. */
 struct dy_seat_t {
 	unsigned int slot;
 	dy_address_t address;
@@ -50,6 +51,7 @@
 
 const DY_SEATS_MAX = 16;
 
+/* Answer to a slot claim. */
 struct dy_place_t {
 	unsigned hyper group;
 	unsigned hyper echo;
--- a/proto/dy_handover.x
+++ b/proto/dy_handover.x
@@ -1,9 +1,10 @@
 /*
- * Sessions that a leaving agent hands to its successors: internal, sealed.
+ * Handover of sessions from a leaving agent to its successors. Internal,
+ * sealed.
  *
- * Tolerant of versions: a session stands in an opaque body whose fields are
- * only ever appended to. A reader passes over the bytes that it does not
- * know, and takes a field that an older sender left out for zero.
+ * Versions can be mixed: a session is an opaque body to which fields are only
+ * appended. A reader ignores trailing bytes that it does not know, and reads a
+ * field that an older sender left out as zero.
  */
 
 const DY_HANDOVER_FORMAT = 1;
@@ -14,11 +15,11 @@
 const DY_HANDOVER_RESULT_BYTES = 8800;
 const DY_HANDOVER_CREDENTIAL_BYTES = 400;
 
-/* Calls of consecutive xids with the same end. */
+/* Calls with consecutive xids and the same outcome. */
 struct dy_moved_calls_t {
 	unsigned int first;
 	unsigned int last;
-	unsigned int age_ms;	/* of the latest */
+	unsigned int age_ms;	/* of the latest call */
 	unsigned int verdict;	/* a dy_verdict_t */
 	unsigned int reason;	/* a dy_reason_t */
 };
@@ -32,7 +33,7 @@
 struct dy_moved_body_t {
 	unsigned int flavor;	/* of the caller's own credential */
 	opaque credential<DY_HANDOVER_CREDENTIAL_BYTES>;
-	unsigned hyper caller;	/* hash, for fairness */
+	unsigned hyper caller;	/* hash of the caller, for fairness */
 	unsigned int idle_ms;
 	dy_moved_calls_t calls<DY_HANDOVER_CALLS>;
 	dy_moved_answer_t answers<DY_HANDOVER_ANSWERS>;
@@ -46,7 +47,7 @@
 struct dy_handover_t {
 	unsigned int format;
 	unsigned hyper service;
-	unsigned hyper agent;		/* who hands over */
+	unsigned hyper agent;		/* the sender */
 	unsigned hyper incarnation;
 	unsigned hyper to_agent;
 	unsigned hyper to_incarnation;
@@ -55,24 +56,24 @@
 
 enum dy_handover_status_t {
 	DY_HANDOVER_OK = 0,
-	DY_HANDOVER_STALE = 1,		/* not this agent and incarnation */
-	DY_HANDOVER_LEFT = 2		/* it left; ask control for whom */
+	DY_HANDOVER_STALE = 1,		/* another agent or incarnation */
+	DY_HANDOVER_LEFT = 2		/* it left; ask control for successors */
 };
 
 /*
- * Names the sessions that the successor has taken, be it now, by an earlier
- * message, or that it has handed on since; and those that it has not taken
- * and never will.
+ * Acknowledgement of a handover. `sessions` are those that the successor
+ * accepted, by this or an earlier message, also if it handed them on since.
+ * `refused` are those that it did not accept and never will.
  */
 struct dy_handover_result_t {
 	dy_handover_status_t status;
-	unsigned hyper agent;		/* to whom the message was sent */
+	unsigned hyper agent;		/* to which the message was sent */
 	unsigned hyper incarnation;
 	unsigned hyper sessions<DY_HANDOVER_SESSIONS>;
 	unsigned hyper refused<DY_HANDOVER_SESSIONS>;	/* with LEFT */
 };
 
-/* Neither has a reply: TAKEN goes back to where MOVE came from. */
+/* Neither call has a reply. TAKEN is sent to the sender of MOVE. */
 program DY_HANDOVER_PROGRAM {
 	version DY_HANDOVER_V1 {
 		void DY_HANDOVER_NULL(void) = 0;
--- a/proto/dy_ledger.x
+++ b/proto/dy_ledger.x
@@ -1,7 +1,8 @@
 /*
- * The ledger of open flows: agents write down at controls which flows their
- * targets hold, and after a loss of power read back which are over. Internal.
- * Every message is an ONC RPC call in a sealed credential; none has a reply.
+ * The ledger of open flows. Agents store at controls which flows their targets
+ * hold. After a power loss they read the lists back to learn which flows ended
+ * with an earlier start of the target. Internal. Every message is an ONC RPC
+ * call with a sealed credential; none has a reply.
  */
 
 #ifdef RPC_HDR
@@ -11,10 +12,10 @@
 %#include "dy_flow.h"
 #endif
 
-/* Flows in one part of a list: a message of some 1.1 KB. */
+/* Flows in one part of a list, for a message of about 1.1 KB. */
 const DY_LEDGER_FLOWS = 48;
 
-/* Bytes of a target's id, without a terminating NUL. */
+/* Largest id of a target, without a terminating NUL. */
 const DY_LEDGER_TARGET_BYTES = 127;
 
 struct dy_ledger_flow_t {
@@ -22,19 +23,20 @@
 	unsigned int ack;	/* the caller's last acknowledgement */
 };
 
-/* A part of the list of one start of a target. */
+/* One part of the list of flows that one start of a target holds. */
 struct dy_ledger_part_t {
 	string agent<DY_NAME_BYTES>;
 	string target<DY_LEDGER_TARGET_BYTES>;
 	unsigned hyper born_ms;	/* time of day of the target's start */
-	unsigned hyper made_ms;	/* time of day at the agent */
-	unsigned int good_ms;	/* believed for so long after that */
-	unsigned int list;	/* differs from the list before */
+	unsigned hyper made_ms;	/* time of day of the list, at the agent */
+	unsigned int good_ms;	/* time to live after made_ms */
+	unsigned int list;	/* id of the list, not that of the one before */
 	unsigned int part;	/* from 0 */
 	unsigned int parts;
 	dy_ledger_flow_t flows<DY_LEDGER_FLOWS>;
 };
 
+/* Requests the list of an agent. */
 struct dy_ledger_ask_t {
 	string agent<DY_NAME_BYTES>;
 };
--- a/proto/dy_raft.x
+++ b/proto/dy_raft.x
@@ -1,6 +1,6 @@
 /*
- * Messages of the control group's replicated log and the records that its
- * members keep on disk. Every array is bounded; a sender keeps the data of
+ * Messages of the control group's replicated log, and the records that its
+ * members store on disk. Every array is bounded. A sender keeps the data of
  * one message below DY_RAFT_BATCH_BYTES, so that a message with all its
  * headers stays below DY_RAFT_MESSAGE_BYTES and fits one datagram.
  */
@@ -13,7 +13,7 @@
 const DY_RAFT_CHUNK_BYTES = 16384;
 const DY_RAFT_MESSAGE_BYTES = 49152;
 
-/* A control in its group, also while it learns. Identity 0 names nobody. */
+/* Id of a control in its group, voter or learner. Identity 0 is no control. */
 struct dy_voter_id_t {
 	unsigned int slot;
 	unsigned hyper identity;
@@ -40,7 +40,7 @@
 	DY_ENTRY_CONFIG = 3
 };
 
-/* data is a command's bytes, or an encoded dy_raft_config_t. */
+/* data is an encoded command or an encoded dy_raft_config_t. */
 struct dy_raft_entry_t {
 	unsigned hyper index;
 	unsigned hyper term;
@@ -59,7 +59,7 @@
 	DY_RAFT_REFUSAL = 8
 };
 
-/* A pre-vote asks for the term after the sender's and changes nothing. */
+/* A pre-vote is for the term after the sender's and changes no state. */
 struct dy_raft_vote_t {
 	unsigned hyper last_index;
 	unsigned hyper last_term;
@@ -80,7 +80,7 @@
 	dy_raft_entry_t entries<DY_RAFT_BATCH_ENTRIES>;
 };
 
-/* A conflict names the first index that the leader should try next. */
+/* After a conflict, conflict_index is the index that the leader tries next. */
 struct dy_raft_append_reply_t {
 	bool accepted;
 	unsigned hyper prev_index;
@@ -127,7 +127,7 @@
 	void;
 };
 
-/* config_index is the index of the newest configuration that from holds. */
+/* config_index is the index of the newest configuration of the sender. */
 struct dy_raft_message_t {
 	unsigned hyper group;
 	dy_voter_id_t from;
@@ -138,8 +138,8 @@
 };
 
 /*
- * Records on disk. synced_index is the last index known to be synced when
- * the record was written: it tells a torn batch from a corrupt record.
+ * Records on disk. synced_index is the last index that was synced when the
+ * record was written. Recovery tells a torn batch from a corrupt record by it.
  */
 enum dy_record_kind_t {
 	DY_RECORD_SEGMENT = 1,
--- a/proto/dy_registry.x
+++ b/proto/dy_registry.x
@@ -1,6 +1,6 @@
 /*
- * Commands of the control group's state machine, as they stand in its log,
- * and the records of its snapshot. Internal to control.
+ * Commands of the control group's state machine, as stored in its log, and the
+ * records of its snapshot. Internal to control.
  */
 
 #ifdef RPC_HDR
@@ -10,13 +10,15 @@
 %#include "dy_control.h"
 #endif
 
-/* Bytes of a document in one entry of the log; see DY_RAFT_ENTRY_BYTES. */
+/* Bytes of a document in one log entry, below DY_RAFT_ENTRY_BYTES. */
 const DY_CONTENT_PAGE_BYTES = 30720;
 
 const DY_REGISTRY_FORMAT = 1;
 
-/* Pages of one content arrive in order; a page that stands already is one
- * that was sent again and changes nothing. */
+/*
+ * A page of a document's content. Pages of one content arrive in order. A page
+ * that is present already is a retransmission and changes nothing.
+ */
 struct dy_content_page_t {
 	opaque digest[DY_DIGEST_BYTES];
 	unsigned int size;
@@ -24,7 +26,7 @@
 	opaque bytes<DY_CONTENT_PAGE_BYTES>;
 };
 
-/* salt is the new key's, for DY_CHANGE_ROTATE. */
+/* salt is that of the new key, for DY_CHANGE_ROTATE. */
 struct dy_operator_change_t {
 	dy_change_t change;
 	opaque salt[DY_SALT_BYTES];
@@ -44,9 +46,9 @@
 };
 
 enum dy_member_mark_kind_t {
-	DY_MARK_SUSPECT = 1,	/* its lease ran out */
-	DY_MARK_DEAD = 2,	/* it stayed away for too long */
-	DY_MARK_FORGET = 3	/* drop the record of one that is gone */
+	DY_MARK_SUSPECT = 1,	/* its lease expired */
+	DY_MARK_DEAD = 2,	/* it was suspect for too long */
+	DY_MARK_FORGET = 3	/* drop the record of a gone member */
 };
 
 struct dy_member_mark_t {
@@ -67,7 +69,7 @@
 	opaque salt[DY_SALT_BYTES];	/* with DY_KEY_ADD */
 };
 
-/* Every live trial member has this content in force. */
+/* Every live member of trial has this content in force. */
 struct dy_content_tried_t {
 	opaque digest[DY_DIGEST_BYTES];
 };
--- a/proto/dy_wire.x
+++ b/proto/dy_wire.x
@@ -1,26 +1,26 @@
 /*
- * Types that several of the interfaces share.
+ * Types that several interfaces share.
  *
- * Every identifier is 64 bits wide, so that a region's number can later
- * stand in its upper bits without a change of layout.
+ * Every identifier has 64 bits, so that the upper bits can hold the number of a
+ * region later without a change of the layout.
  */
 
 #ifdef RPC_HDR
 %#include <stdint.h>
 #endif
 
-/* Bytes of an IP number; IPv4 stands in it mapped (::ffff:a.b.c.d). */
+/* Bytes of an IP address; IPv4 is mapped (::ffff:a.b.c.d). */
 const DY_IP_BYTES = 16;
 
-/* Bytes of names of services, members, environments, failure domains. */
+/* Largest name of a service, member, environment or failure domain. */
 const DY_NAME_BYTES = 64;
 
-/* Bytes of a target's labels, "key=value,key=value". */
+/* Largest text of a target's labels, "key=value,key=value". */
 const DY_LABELS_BYTES = 256;
 
 /*
- * The largest datagram between a caller and a balancer, in bytes: what a
- * stock libtirpc client sends and takes (its UDPMSGSIZE).
+ * Largest datagram between a caller and a balancer: the limit of a stock
+ * libtirpc client in both directions (its UDPMSGSIZE).
  */
 const DY_DATAGRAM_BYTES = 8800;
 
@@ -29,7 +29,7 @@
 	unsigned int port;
 };
 
-/* What an agent says of its load in each of its answers. */
+/* Load of an agent, in each of its answers and bounces. */
 struct dy_load_t {
 	unsigned int slots;
 	unsigned int in_flight;
--- a/proto/standin_maps.x
+++ b/proto/standin_maps.x
@@ -1,9 +1,9 @@
 /*
- * The stand-in map service: a named map is pulled page by page.
+ * The stand-in map service: callers download a named map page by page.
  *
- * The bytes of a page follow from the map's name and the page's number, so
- * that a caller can tell a whole page of its own from any other. PAGE is
- * idempotent.
+ * The bytes of a page are a function of the map's name and the page's number,
+ * so that a caller can verify that a page is complete and the one it requested.
+ * PAGE is idempotent.
  */
 
 const STANDIN_MAP_NAME_MAX = 64;
@@ -15,7 +15,7 @@
 };
 
 struct standin_page_t {
-	/* Pages of the whole map; a page beyond it is empty. */
+	/* Pages of the whole map; a page beyond the end is empty. */
 	unsigned int pages;
 	opaque bytes<STANDIN_PAGE_MAX>;
 };
--- a/proto/standin_readings.x
+++ b/proto/standin_readings.x
@@ -1,9 +1,9 @@
 /*
  * The stand-in readings service: stations submit one reading at a time.
  *
- * SUBMIT is not idempotent: each run stores one more line. Its answer is
- * the sequence it was sent, so that a caller can tell its own answer from
- * another's.
+ * SUBMIT is not idempotent: each run stores one more line. It returns the
+ * sequence of its argument, so that a caller can detect the answer to another
+ * call.
  */
 
 const STANDIN_STATION_MAX = 64;
