--- a/Makefile
+++ b/Makefile
@@ -1,14 +1,14 @@
-# damaskyard: one binary, its stand-ins, its tests and its measurements.
+# Builds the damaskyard binary, its stand-ins, tests and benchmarks.
 #
 #   make            the binary, build/damaskyard
 #   make standins   the stand-in targets, callers and fabric, build/standin/*
-#   make test       every test program, one a module
-#   make fuzz       the fuzzers, each run for a fixed count over its corpus
-#   make soak       the fault soak; soak/run plays it
-#   make measure    the policy under load, printed as a table
-#   make bench      the data path and the control path, measured
-#   make lint       formatter and linter, both must be clean
-#   make gen        the codec from proto/*.x (its output is committed)
+#   make test       all test programs, one per module
+#   make fuzz       all fuzzers, each for a fixed number of runs over its corpus
+#   make soak       the fault soak program; soak/run runs it
+#   make measure    the simulations of the policy under load, printed as a table
+#   make bench      the benchmarks of the data path and the control path
+#   make lint       the formatter and the linter; both must be clean
+#   make gen        the XDR code from proto/*.x (the output is committed)
 #
 # SANITIZE=1 builds everything with the address and undefined-behaviour
 # sanitizers, below build/sanitize.
@@ -32,8 +32,9 @@
 	-Wno-unused-parameter -Wno-format-zero-length -Werror
 DEPS_CFLAGS := $(shell pkg-config --cflags $(PKGS) | sed 's/-I/-isystem /g')
 DEPS_LIBS := $(shell pkg-config --libs $(PKGS)) -lhttp_parser -lm
-# LIBRARIES=static links all but the C library into the binary: a process on a
-# small part of a core starts sooner by what the dynamic linker does not do.
+# LIBRARIES=static links all libraries but the C library statically. Without
+# the work of the dynamic linker, a process with a small share of a core starts
+# sooner.
 ifeq ($(LIBRARIES),static)
 BIN_LIBS = -Wl,-Bstatic -luv_a -ltirpc -lglib-2.0 -lpcre2-8 -lxxhash \
 	-ljansson -lhttp_parser -lz -Wl,-Bdynamic -lm -lpthread -ldl
@@ -42,7 +43,7 @@
 endif
 CHECK_LIBS := $(shell pkg-config --libs check 2>/dev/null)
 CFLAGS = -std=gnu11 -O2 -g
-# Private headers are named by their file alone, wherever they stand.
+# Private headers are included by file name alone, whatever their folder.
 INCLUDES = -Iinclude -Isrc/gen -I. -Isrc/process \
 	$(patsubst %/,-I%,$(sort $(wildcard src/process/*/)))
 ALL_CFLAGS = $(CFLAGS) $(WARN) $(SAN) $(INCLUDES) $(DEPS_CFLAGS) \
@@ -122,7 +123,7 @@
 	@mkdir -p $(@D)
 	$(CC) $(SAN) -o $@ $^ $(DEPS_LIBS)
 
-# Members and controls of the tests, in simulated time.
+# It runs the members and controls of the tests in simulated time.
 $(BUILD)/bench/measure_control: ALL_CFLAGS += -Itests
 $(BUILD)/bench/measure_control: $(BUILD)/obj/bench/measure_control.o \
 		$(patsubst %,$(BUILD)/obj/tests/fake_%.o,site group group_operator disk) \
@@ -134,8 +135,8 @@
 	@mkdir -p $(@D)
 	$(CC) $(SAN) -o $@ $^ $(DEPS_LIBS)
 
-# The fuzzers' own objects: clang instruments the library's code too. Fakes
-# that assert by the check library belong to the tests alone.
+# The fuzzers have their own objects, since clang instruments the library's code
+# too. Fakes that use assertions of the check library are for tests alone.
 FUZZ_FLAGS = -std=gnu11 -O1 -g -w -fsanitize=address,undefined
 FUZZ_OBJ := $(patsubst %.c,build/fuzz-obj/%.o, \
 	$(filter-out $(MAIN_SRC),$(LIB_SRC)) $(GEN_SRC) \
@@ -185,7 +186,7 @@
 lint-format:
 	clang-format --dry-run --Werror $(OWN_SRC) $(OWN_HDR)
 
-# One stamp a file, so that only what changed is linted again.
+# One stamp per file, so that only changed files are linted again.
 TIDY_STAMP := $(patsubst %.c,build/tidy/%.stamp,$(OWN_SRC))
 
 tidy: $(TIDY_STAMP)
