--- a/src/process/command/cmd_announce.c
+++ b/src/process/command/cmd_announce.c
@@ -180,7 +180,7 @@
 	announcer_t announcer = { 0 };
 	const dy_setting_t settings[] = {
 		{ "agent", DY_SETTING_ADDRESS, &announcer.agent, TRUE, NULL, 0,
-		  0, "IP:PORT", "address in --announce of the agent" },
+		  0, "IP:PORT", "the --announce address of the agent" },
 		{ "service", DY_SETTING_NAME, &announcer.service, TRUE, NULL, 0,
 		  0, "NAME", "service that the target offers" },
 		{ "target", DY_SETTING_ADDRESS, &announcer.target, TRUE, NULL,
--- a/src/process/command/operator.h
+++ b/src/process/command/operator.h
@@ -72,8 +72,8 @@
 /*
  * Creates an operator from operator_values. command is the name of the
  * subcommand for messages; it is not copied and must outlive the operator.
- * The timeout starts now. Returns NULL with error set if the key file cannot
- * be loaded.
+ * The timeout starts now; the log is limited to errors. Returns NULL with error
+ * set if the key file cannot be loaded.
  */
 operator_t *operator_create(const char *command, GError **error);
 
@@ -112,7 +112,8 @@
 /*
  * Clears change and sets its kind, its operator and its request id. The
  * request id is derived from --request-id, or from a random id if the flag is
- * missing. The strings of change are borrowed from operator_values.
+ * missing. The strings of change are not copied; they live as long as
+ * operator_values.
  */
 void operator_init_change(dy_change_t *change, dy_change_kind_t kind);
 
