--- a/bench/bench_control.c
+++ b/bench/bench_control.c
@@ -1,7 +1,7 @@
 /*
- * The control path: a group of three in one process, over loopback and three
- * folders, polled by as many members as asked for, each again as soon as it
- * was answered. All of it shares one thread, the members too.
+ * Measures the control path: a group of three controls in one process, over
+ * loopback and three data folders. Each member polls again as soon as it is
+ * answered. Controls and members share one thread.
  *
  *	bench_control [MEMBERS [SECONDS]]
  */
@@ -19,17 +19,17 @@
 #define CONTROLS 3
 #define MEMBERS 200
 #define SECONDS 3
-#define RETRY_MS 200
+#define RETRY_INTERVAL_MS 200
 
 typedef struct member {
 	dy_poll_t poll;
 	char name[24];
 	char service[24];
 	uint32_t xid;
-	uint64_t sent_ms;
+	uint64_t last_sent_ms;
 } member_t;
 
-typedef struct world {
+typedef struct bench {
 	dy_metrics_t *metrics;
 	dy_loop_t *loop;
 	dy_control_options_t options;
@@ -45,86 +45,87 @@
 	uint64_t bytes_out;
 	uint64_t bytes_in;
 	uint64_t end_ms;
-} world_t;
+} bench_t;
 
-static void send_poll(world_t *world, member_t *member)
+static void send_poll(bench_t *bench, member_t *member)
 {
 	dy_seal_header_t head = { 0, DY_CONTROL_PROGRAM, DY_CONTROL_POLL };
 	uint8_t out[2048];
 	size_t len;
 
-	/* The xid finds the member again. */
-	head.xid = (uint32_t)(member - world->members);
-	member->sent_ms = dy_loop_now_ms(world->loop);
-	len = dy_seal_write_call(world->seal, &head, (xdrproc_t)xdr_dy_poll_t,
+	/* The xid identifies the member when the answer arrives. */
+	head.xid = (uint32_t)(member - bench->members);
+	member->last_sent_ms = dy_loop_now_ms(bench->loop);
+	len = dy_seal_write_call(bench->seal, &head, (xdrproc_t)xdr_dy_poll_t,
 				 &member->poll, out, sizeof(out));
-	world->bytes_out += len;
-	dy_endpoint_send_to(world->endpoint, out, len, &world->leader);
+	bench->bytes_out += len;
+	dy_endpoint_send_to(bench->endpoint, out, len, &bench->leader);
 }
 
-static void take_result(world_t *world, member_t *member,
-			const dy_poll_result_t *result)
+static void handle_result(bench_t *bench, member_t *member,
+			  const dy_poll_result_t *result)
 {
 	if (result->status == DY_STATUS_NOT_LEADER && result->leader.port)
-		world->leader = result->leader;
+		bench->leader = result->leader;
 	if (result->status != DY_STATUS_OK)
 		return;
-	world->joined += !member->poll.incarnation;
+	bench->joined += !member->poll.incarnation;
 	member->poll.incarnation = result->incarnation;
 	member->poll.state_version = result->state_version;
-	world->answers++;
-	send_poll(world, member);
+	bench->answers++;
+	send_poll(bench, member);
 }
 
 static void receive(void *context, uint8_t *bytes, size_t len,
 		    const struct sockaddr *from, int truncated)
 {
-	world_t *world = context;
+	bench_t *bench = context;
 	dy_poll_result_t result;
 	dy_sealed_t message;
 
 	(void)from;
 	if (truncated ||
-	    dy_seal_open(world->seal, bytes, len, &message) != DY_SEAL_OK ||
-	    !message.is_reply || message.xid >= world->count)
+	    dy_seal_open(bench->seal, bytes, len, &message) != DY_SEAL_OK ||
+	    !message.is_reply || message.xid >= bench->count)
 		return;
 	if (!dy_sealed_load(&message, (xdrproc_t)xdr_dy_poll_result_t, &result,
 			    sizeof(result)))
 		return;
-	world->bytes_in += len;
-	take_result(world, &world->members[message.xid], &result);
+	bench->bytes_in += len;
+	handle_result(bench, &bench->members[message.xid], &result);
 	xdr_free((xdrproc_t)xdr_dy_poll_result_t, (char *)&result);
 }
 
 static void tick(void *context)
 {
-	world_t *world = context;
-	uint64_t now_ms = dy_loop_now_ms(world->loop);
+	bench_t *bench = context;
+	uint64_t now_ms = dy_loop_now_ms(bench->loop);
 	unsigned i;
 
-	for (i = 0; i < world->count; i++)
-		if (now_ms - world->members[i].sent_ms >= RETRY_MS)
-			send_poll(world, &world->members[i]);
-	if (world->end_ms ? now_ms >= world->end_ms
-			  : world->joined == world->count)
-		dy_loop_end(world->loop);
+	for (i = 0; i < bench->count; i++)
+		if (now_ms - bench->members[i].last_sent_ms >=
+		    RETRY_INTERVAL_MS)
+			send_poll(bench, &bench->members[i]);
+	if (bench->end_ms ? now_ms >= bench->end_ms
+			  : bench->joined == bench->count)
+		dy_loop_end(bench->loop);
 }
 
-static dy_address_t find_port(world_t *world)
+static dy_address_t find_free_port(bench_t *bench)
 {
 	dy_endpoint_t *probe;
 	dy_address_t address;
 
 	dy_address_parse("127.0.0.1:0", &address);
-	probe = dy_endpoint_create(world->loop, &address, receive, world, NULL);
+	probe = dy_endpoint_create(bench->loop, &address, receive, bench, NULL);
 	address = *dy_endpoint_address(probe);
 	dy_endpoint_destroy(probe);
 	return address;
 }
 
-static void start_controls(world_t *world)
+static void start_controls(bench_t *bench)
 {
-	dy_control_options_t *options = &world->options;
+	dy_control_options_t *options = &bench->options;
 	GError *error = NULL;
 	unsigned i;
 
@@ -134,49 +135,49 @@
 	options->leases = (dy_lease_times_t){ 60000, 600000 };
 	options->keys = (dy_key_times_t){ 600000, 600000, 600000 };
 	for (i = 0; i < CONTROLS; i++)
-		options->peers.slots[i + 1] = find_port(world);
-	uv_run(dy_loop_uv(world->loop), UV_RUN_NOWAIT);
-	world->leader = options->peers.slots[1];
+		options->peers.slots[i + 1] = find_free_port(bench);
+	uv_run(dy_loop_uv(bench->loop), UV_RUN_NOWAIT);
+	bench->leader = options->peers.slots[1];
 	for (i = 0; i < CONTROLS; i++) {
-		world->folders[i] = g_dir_make_tmp("dy-bench-XXXXXX", NULL);
+		bench->folders[i] = g_dir_make_tmp("dy-bench-XXXXXX", NULL);
 		options->slot = i + 1;
-		options->folder = world->folders[i];
+		options->folder = bench->folders[i];
 		options->listen = options->peers.slots[i + 1];
-		world->controls[i] = dy_control_create(
-			world->loop, world->metrics, options, &error);
-		if (!world->controls[i]) {
+		bench->controls[i] = dy_control_create(
+			bench->loop, bench->metrics, options, &error);
+		if (!bench->controls[i]) {
 			fprintf(stderr, "%s\n", error->message);
 			exit(1);
 		}
 	}
 }
 
-static void start_members(world_t *world)
+static void start_members(bench_t *bench)
 {
 	dy_member_info_t *info;
 	dy_address_t any;
 	unsigned i;
 
 	dy_address_parse("127.0.0.1:0", &any);
-	world->endpoint =
-		dy_endpoint_create(world->loop, &any, receive, world, NULL);
-	world->seal = dy_seal_create(&world->options.secrets, world->metrics);
-	world->members = g_new0(member_t, world->count);
-	for (i = 0; i < world->count; i++) {
-		info = &world->members[i].poll.info;
-		snprintf(world->members[i].name, sizeof(world->members[i].name),
+	bench->endpoint =
+		dy_endpoint_create(bench->loop, &any, receive, bench, NULL);
+	bench->seal = dy_seal_create(&bench->options.secrets, bench->metrics);
+	bench->members = g_new0(member_t, bench->count);
+	for (i = 0; i < bench->count; i++) {
+		info = &bench->members[i].poll.info;
+		snprintf(bench->members[i].name, sizeof(bench->members[i].name),
 			 "agent-%u", i);
-		snprintf(world->members[i].service,
-			 sizeof(world->members[i].service), "service-%u",
+		snprintf(bench->members[i].service,
+			 sizeof(bench->members[i].service), "service-%u",
 			 i / 10);
 		info->kind = DY_MEMBER_AGENT;
-		info->name = world->members[i].name;
+		info->name = bench->members[i].name;
 		info->environment = "production";
 		info->domain = "d1";
-		info->service = world->members[i].service;
+		info->service = bench->members[i].service;
 		info->labels = "";
-		world->members[i].poll.boot = i + 1;
-		world->members[i].poll.state = DY_MEMBER_SERVING;
+		bench->members[i].poll.boot = i + 1;
+		bench->members[i].poll.state = DY_MEMBER_SERVING;
 	}
 }
 
@@ -197,52 +198,52 @@
 	g_free(folder);
 }
 
-static void clean_up(world_t *world)
+static void clean_up(bench_t *bench)
 {
 	unsigned i;
 
 	for (i = 0; i < CONTROLS; i++)
-		dy_control_destroy(world->controls[i]);
-	dy_endpoint_destroy(world->endpoint);
-	dy_loop_destroy(world->loop);
-	dy_seal_destroy(world->seal);
-	dy_metrics_destroy(world->metrics);
+		dy_control_destroy(bench->controls[i]);
+	dy_endpoint_destroy(bench->endpoint);
+	dy_loop_destroy(bench->loop);
+	dy_seal_destroy(bench->seal);
+	dy_metrics_destroy(bench->metrics);
 	for (i = 0; i < CONTROLS; i++)
-		remove_folder(world->folders[i]);
-	g_free(world->members);
+		remove_folder(bench->folders[i]);
+	g_free(bench->members);
 }
 
-static void report(const world_t *world, unsigned seconds)
+static void report(const bench_t *bench, unsigned seconds)
 {
-	uint64_t answers = MAX(world->answers, 1);
+	uint64_t answers = MAX(bench->answers, 1);
 
 	printf("bench=control_polls members=%u controls=%d answers=%lu "
 	       "answers_a_second=%lu bytes_a_poll=%lu bytes_an_answer=%lu\n",
-	       world->count, CONTROLS, (unsigned long)world->answers,
-	       (unsigned long)(world->answers / seconds),
-	       (unsigned long)(world->bytes_out / answers),
-	       (unsigned long)(world->bytes_in / answers));
+	       bench->count, CONTROLS, (unsigned long)bench->answers,
+	       (unsigned long)(bench->answers / seconds),
+	       (unsigned long)(bench->bytes_out / answers),
+	       (unsigned long)(bench->bytes_in / answers));
 }
 
 int main(int argc, char **argv)
 {
 	unsigned seconds = argc > 2 ? MAX(atoi(argv[2]), 1) : SECONDS;
-	world_t world = { 0 };
+	bench_t bench = { 0 };
 
 	dy_log_configure(DY_LOG_ERROR, NULL);
-	world.count = argc > 1 ? (unsigned)atoi(argv[1]) : MEMBERS;
-	world.metrics = dy_metrics_create();
-	world.loop = dy_loop_create(world.metrics);
-	start_controls(&world);
-	start_members(&world);
-	dy_loop_every(world.loop, 20, tick, &world);
-	dy_loop_run(world.loop);
-	world.answers = 0;
-	world.bytes_in = 0;
-	world.bytes_out = 0;
-	world.end_ms = dy_loop_now_ms(world.loop) + seconds * 1000;
-	dy_loop_run(world.loop);
-	report(&world, seconds);
-	clean_up(&world);
+	bench.count = argc > 1 ? (unsigned)atoi(argv[1]) : MEMBERS;
+	bench.metrics = dy_metrics_create();
+	bench.loop = dy_loop_create(bench.metrics);
+	start_controls(&bench);
+	start_members(&bench);
+	dy_loop_every(bench.loop, 20, tick, &bench);
+	dy_loop_run(bench.loop);
+	bench.answers = 0;
+	bench.bytes_in = 0;
+	bench.bytes_out = 0;
+	bench.end_ms = dy_loop_now_ms(bench.loop) + seconds * 1000;
+	dy_loop_run(bench.loop);
+	report(&bench, seconds);
+	clean_up(&bench);
 	return 0;
 }
--- a/bench/bench_flow.c
+++ b/bench/bench_flow.c
@@ -1,6 +1,7 @@
 /*
- * Slopes of the packet path's decisions: memory a flow and a target, time a
- * packet, a choice and a search. Prints key=value rows.
+ * Measures the flow router of the packet path: memory per flow and per target,
+ * time per packet of a new, an unknown and a known flow. An unknown flow is
+ * searched at the agents. Prints rows of key=value.
  */
 
 #include <malloc.h>
@@ -15,9 +16,9 @@
 #include "damaskyard/flow_router.h"
 #include "damaskyard/log.h"
 
-#define FLOWS 150000
-#define ROUNDS 200000
-#define OPENED 20000
+#define KNOWN_FLOWS 150000
+#define KNOWN_PACKETS 200000
+#define NEW_FLOWS 20000
 
 static uint64_t forwards;
 
@@ -35,19 +36,20 @@
 	(void)seq;
 }
 
-static void on_confirm(void *context)
+static void on_confirm_members(void *context)
 {
 	(void)context;
 }
 
-static void on_ask(void *context, const dy_address_t *agent)
+static void on_request_report(void *context, const dy_address_t *agent)
 {
 	(void)context;
 	(void)agent;
 }
 
 static const dy_flow_router_callbacks_t callbacks = { on_forward, on_reset,
-						      on_confirm, on_ask };
+						      on_confirm_members,
+						      on_request_report };
 
 static size_t heap_bytes(void)
 {
@@ -64,7 +66,7 @@
 	return (double)now.tv_sec * 1e6 + (double)now.tv_nsec / 1e3;
 }
 
-static dy_address_t agent(unsigned number)
+static dy_address_t agent_address(unsigned number)
 {
 	dy_address_t address;
 
@@ -72,8 +74,8 @@
 	return address;
 }
 
-static dy_flow_router_t *create(dy_metrics_t *metrics, unsigned targets,
-				unsigned services)
+static dy_flow_router_t *create_router(dy_metrics_t *metrics, unsigned targets,
+				       unsigned services)
 {
 	dy_flow_rules_t *rules = dy_flow_rules_create(1);
 	dy_flow_router_config_t config = { 0 };
@@ -105,41 +107,42 @@
 		g_snprintf(name, sizeof(name), "s%u", i % services);
 		member.id = i + 1;
 		member.incarnation = i + 1;
-		member.info.address = agent(i);
+		member.info.address = agent_address(i);
 		dy_flow_router_set_member(router, &member);
 	}
 	return router;
 }
 
-static dy_packet_t packet(unsigned flow, unsigned services, unsigned marks)
+static dy_packet_t make_packet(unsigned flow, unsigned services, unsigned flags)
 {
-	dy_packet_t made = { 0 };
-
-	made.flow.caller_ip = 0x64400000u + flow / 60000;
-	made.flow.caller_port = 1024 + flow % 60000;
-	made.flow.entry_ip = 0xc6120000u + flow % services;
-	made.flow.entry_port = 443;
-	made.flags = marks;
-	return made;
+	dy_packet_t packet = { 0 };
+
+	packet.flow.caller_ip = 0x64400000u + flow / 60000;
+	packet.flow.caller_port = 1024 + flow % 60000;
+	packet.flow.entry_ip = 0xc6120000u + flow % services;
+	packet.flow.entry_port = 443;
+	packet.flags = flags;
+	return packet;
 }
 
-static double run(dy_flow_router_t *router, unsigned count, unsigned first,
-		  unsigned services, unsigned marks)
+static double time_packets(dy_flow_router_t *router, unsigned count,
+			   unsigned first, unsigned services, unsigned flags)
 {
 	uint8_t bytes[34] = { 0 };
 	double from = now_us();
-	dy_packet_t made;
+	dy_packet_t packet;
 	unsigned i;
 
 	for (i = 0; i < count; i++) {
-		made = packet(first + i % FLOWS, services, marks);
-		dy_flow_router_receive_packet(router, &made, bytes,
+		packet = make_packet(first + i % KNOWN_FLOWS, services, flags);
+		dy_flow_router_receive_packet(router, &packet, bytes,
 					      sizeof(bytes), 1000);
 	}
 	return (now_us() - from) / count;
 }
 
-static void hold(dy_flow_router_t *router, unsigned flows, unsigned services)
+static void add_known_flows(dy_flow_router_t *router, unsigned flows,
+			    unsigned services)
 {
 	dy_flow_held_t held = { 0 };
 	unsigned i;
@@ -147,8 +150,8 @@
 	held.open = 1;
 	held.load.slots = 4;
 	for (i = 0; i < flows; i++) {
-		held.flow = packet(i, services, 0).flow;
-		held.agent = agent(i % services);
+		held.flow = make_packet(i, services, 0).flow;
+		held.agent = agent_address(i % services);
 		dy_flow_router_receive_held(router, &held, 1000);
 	}
 }
@@ -157,24 +160,26 @@
 {
 	dy_metrics_t *metrics = dy_metrics_create();
 	size_t before = heap_bytes();
-	dy_flow_router_t *router = create(metrics, targets, services);
-	size_t table = heap_bytes() - before;
-	size_t flows;
+	dy_flow_router_t *router = create_router(metrics, targets, services);
+	size_t table_bytes = heap_bytes() - before;
+	size_t flow_bytes;
 	double open_us;
 	double search_us;
 	double known_us;
 
-	open_us = run(router, OPENED, 0, services, DY_PACKET_SYN);
-	search_us = run(router, OPENED, FLOWS, services, DY_PACKET_ACK);
+	open_us = time_packets(router, NEW_FLOWS, 0, services, DY_PACKET_SYN);
+	search_us = time_packets(router, NEW_FLOWS, KNOWN_FLOWS, services,
+				 DY_PACKET_ACK);
 	before = heap_bytes();
-	hold(router, FLOWS, services);
-	flows = heap_bytes() - before;
-	known_us = run(router, ROUNDS, 0, services, DY_PACKET_ACK);
+	add_known_flows(router, KNOWN_FLOWS, services);
+	flow_bytes = heap_bytes() - before;
+	known_us =
+		time_packets(router, KNOWN_PACKETS, 0, services, DY_PACKET_ACK);
 	printf("flow_table targets=%u services=%u bytes_a_target=%.0f "
 	       "bytes_a_flow=%.0f opening_us=%.2f search_us=%.2f known_us=%.2f\n",
-	       targets, services, (double)table / targets,
-	       (double)flows / (double)(FLOWS - OPENED), open_us, search_us,
-	       known_us);
+	       targets, services, (double)table_bytes / targets,
+	       (double)flow_bytes / (double)(KNOWN_FLOWS - NEW_FLOWS), open_us,
+	       search_us, known_us);
 	dy_flow_router_destroy(router);
 	dy_metrics_destroy(metrics);
 }
--- a/bench/bench_log.c
+++ b/bench/bench_log.c
@@ -1,7 +1,7 @@
 /*
- * The control group's log on this machine's disk: commits a second with a
- * true sync for each batch, and the time to restart from a snapshot and
- * 10,000 entries behind it. Prints key=value lines.
+ * Measures the control group's log on the local disk: commits per second with
+ * a real sync per batch, and the time to restart from a snapshot and 10,000
+ * entries after it. Prints rows of key=value.
  */
 
 #include <stdio.h>
@@ -16,14 +16,14 @@
 #define RESTART_ENTRIES 10000
 #define SNAPSHOT_BYTES (1u << 20)
 
-static void die(const char *what, const GError *error)
+static void fail(const char *what, const GError *error)
 {
 	fprintf(stderr, "bench_log: %s: %s\n", what,
 		error ? error->message : "failed");
 	exit(1);
 }
 
-static double now(void)
+static double now_s(void)
 {
 	return (double)g_get_monotonic_time() / G_USEC_PER_SEC;
 }
@@ -44,7 +44,7 @@
 
 static void measure_batch(dy_store_t *store, int batch)
 {
-	double start = now();
+	double start = now_s();
 	double end = start + RUN_SECONDS;
 	GError *error = NULL;
 	long syncs = 0;
@@ -52,10 +52,10 @@
 	do {
 		append(store, batch);
 		if (dy_store_sync(store, &error))
-			die("sync", error);
+			fail("sync", error);
 		syncs++;
-	} while (now() < end);
-	end = now();
+	} while (now_s() < end);
+	end = now_s();
 	printf("bench=log batch=%d entry_bytes=%d commits_per_s=%.0f "
 	       "syncs_per_s=%.0f sync_ms=%.3f\n",
 	       batch, ENTRY_BYTES, (double)(syncs * batch) / (end - start),
@@ -73,7 +73,7 @@
 	if (dy_store_snapshot_begin(store, &meta, &error) ||
 	    dy_store_snapshot_add(store, bytes, SNAPSHOT_BYTES, &error) ||
 	    dy_store_snapshot_commit(store, &error))
-		die("snapshot", error);
+		fail("snapshot", error);
 	g_free(bytes);
 }
 
@@ -86,17 +86,17 @@
 	write_snapshot(store);
 	append(store, RESTART_ENTRIES);
 	if (dy_store_sync(store, &error))
-		die("sync", error);
+		fail("sync", error);
 	dy_store_destroy(store);
-	start = now();
+	start = now_s();
 	store = dy_store_create(disk, options, &error);
 	if (!store)
-		die("restart", error);
+		fail("restart", error);
 	printf("bench=restart snapshot_bytes=%u entries=%llu restart_ms=%.1f\n",
 	       SNAPSHOT_BYTES,
 	       (unsigned long long)(dy_store_last_index(store) + 1 -
 				    dy_store_first_index(store)),
-	       (now() - start) * 1000);
+	       (now_s() - start) * 1000);
 	dy_store_destroy(store);
 }
 
@@ -124,11 +124,11 @@
 	dy_store_t *store;
 
 	if (!folder)
-		die("temporary folder", NULL);
+		fail("temporary folder", NULL);
 	disk = dy_disk_create(folder, &error);
 	store = disk ? dy_store_create(disk, &options, &error) : NULL;
 	if (!store)
-		die("open", error);
+		fail("open", error);
 	measure_batch(store, 1);
 	measure_batch(store, 16);
 	measure_batch(store, 64);
--- a/bench/bench_policy.c
+++ b/bench/bench_policy.c
@@ -1,7 +1,7 @@
 /*
- * What one decision costs: a pick among 110,000 targets behind 34,000
- * addresses, a call through admission with an empty and with a full queue.
- * Rows of key=value; times vary with the machine.
+ * Measures the time of one decision: a pick among 110,000 targets behind
+ * 34,000 addresses, and a call through admission with an empty and with a full
+ * queue. Prints rows of key=value; times depend on the hardware.
  */
 
 #include <stdio.h>
@@ -19,7 +19,7 @@
 #define CALLS 1000000
 #define SLOTS 7
 #define ITEMS 512
-#define CAP 2000
+#define SESSION_CAP 2000
 #define NOW_MS 3600000
 
 static double elapsed_ns(gint64 start_us, double times)
@@ -33,16 +33,16 @@
 	int i;
 
 	for (i = 0; i < TARGETS; i++) {
-		dy_pick_target_init(&targets[i], (uint16_t)(i % 14), SLOTS, CAP,
-				    0);
-		targets[i].sessions = g_rand_int_range(rand, 0, CAP);
+		dy_pick_target_init(&targets[i], (uint16_t)(i % 14), SLOTS,
+				    SESSION_CAP, 0);
+		targets[i].sessions = g_rand_int_range(rand, 0, SESSION_CAP);
 		targets[i].in_flight = g_rand_int_range(rand, 0, SLOTS);
 	}
 	return targets;
 }
 
-/* Addresses have 3 targets each, as 110,000 / 34,000 is 3.2. */
-static void bench_pick(const char *name, uint32_t addresses, size_t each)
+/* main() uses 3 targets per address, as 110,000 / 34,000 is 3.2. */
+static void bench_pick(const char *name, uint32_t addresses, size_t per_address)
 {
 	GRand *rand = g_rand_new_with_seed(1);
 	dy_pick_target_t *targets = create_targets(rand);
@@ -56,18 +56,19 @@
 	start = g_get_monotonic_time();
 	for (i = 0; i < PICKS; i++) {
 		at = (uint64_t)g_rand_int_range(rand, 0, (gint32)addresses);
-		at = at * (TARGETS - each) / addresses;
-		none += dy_pick(&config, &targets[at], each, rand, NOW_MS) < 0;
+		at = at * (TARGETS - per_address) / addresses;
+		none += dy_pick(&config, &targets[at], per_address, rand,
+				NOW_MS) < 0;
 	}
 	printf("pick case=%s targets=%d addresses=%u each=%zu picks=%d "
 	       "none=%d ns_per_pick=%.0f bytes_per_target=%zu\n",
-	       name, TARGETS, addresses, each, PICKS, none,
+	       name, TARGETS, addresses, per_address, PICKS, none,
 	       elapsed_ns(start, PICKS), sizeof(dy_pick_target_t));
 	g_free(targets);
 	g_rand_free(rand);
 }
 
-static void prepare(dy_admission_item_t *item, uint32_t number)
+static void init_item(dy_admission_item_t *item, uint32_t number)
 {
 	item->caller = number % 2000;
 	item->key = number % 300;
@@ -80,7 +81,7 @@
 	dy_admission_t *admission;
 	GRand *rand;
 	dy_admission_item_t *items;
-	GQueue idle; /* items not under way */
+	GQueue idle; /* neither queued nor running */
 	GQueue running;
 	uint64_t now_us;
 } bench_t;
@@ -90,7 +91,7 @@
 	dy_admission_item_t *item = g_queue_pop_head(&bench->idle);
 	dy_admission_refusal_t refusal;
 
-	prepare(item, number);
+	init_item(item, number);
 	switch (dy_admission_submit(bench->admission, item, bench->now_us,
 				    &refusal)) {
 	case DY_ADMISSION_RUN:
@@ -118,8 +119,8 @@
 		g_queue_push_tail(&bench->running, item);
 }
 
-/* Each call is submitted, run and finished, with so many others waiting. */
-static void bench_admission(const char *name, uint32_t waiting)
+/* Times calls while up to `outstanding` others are queued or running. */
+static void bench_admission(const char *name, uint32_t outstanding)
 {
 	bench_t bench = { .now_us = 1000000 };
 	dy_admission_config_t config;
@@ -140,7 +141,8 @@
 	for (i = 0; i < CALLS; i++, bench.now_us += 100) {
 		submit_one(&bench, i);
 		dy_admission_load(bench.admission, bench.now_us, &load);
-		if (load.queued + load.in_flight > waiting && load.in_flight)
+		if (load.queued + load.in_flight > outstanding &&
+		    load.in_flight)
 			finish_one(&bench);
 	}
 	printf("admission case=%s slots=%d waiting=%u calls=%d "
--- a/bench/bench_registry.c
+++ b/bench/bench_registry.c
@@ -1,6 +1,7 @@
 /*
- * The registry at 110,000 agents: bytes a member, the whole state for a
- * balancer that starts, one change for one that follows, and a snapshot.
+ * Measures the registry with 110,000 agents: memory per member, the whole
+ * state for a balancer that starts, a poll without changes, and a snapshot.
+ * Prints rows of key=value.
  *
  *	bench_registry [MEMBERS]
  */
@@ -17,7 +18,7 @@
 #include "damaskyard/registry.h"
 
 #define MEMBERS 110000
-#define FOLLOWS 100000
+#define UNCHANGED_POLLS 100000
 
 static dy_registry_t *registry;
 static uint64_t next_index;
@@ -110,19 +111,19 @@
 	       (unsigned long)bytes, now_ms() - begin_ms);
 }
 
-static void measure_follow(dy_poll_t *poll)
+static void measure_unchanged_poll(dy_poll_t *poll)
 {
 	dy_delta_t deltas[DY_DELTAS_MAX];
 	dy_poll_result_t result = { 0 };
 	double begin_ms = now_ms();
 	unsigned i;
 
-	for (i = 0; i < FOLLOWS; i++) {
+	for (i = 0; i < UNCHANGED_POLLS; i++) {
 		result.deltas.deltas_val = deltas;
 		dy_registry_fill_poll_result(registry, poll, &result);
 	}
 	printf("bench=registry_poll_unchanged us=%.3f bytes=%lu\n",
-	       (now_ms() - begin_ms) * 1e3 / FOLLOWS,
+	       (now_ms() - begin_ms) * 1e3 / UNCHANGED_POLLS,
 	       (unsigned long)encoded_bytes(&result));
 }
 
@@ -160,7 +161,7 @@
 	       members, used, used / members, dy_registry_member_bytes(),
 	       (now_ms() - begin_ms) * 1e3 / members);
 	measure_whole_state(&poll);
-	measure_follow(&poll);
+	measure_unchanged_poll(&poll);
 	measure_snapshot();
 	dy_registry_destroy(registry);
 	return 0;
--- a/bench/bench_table.c
+++ b/bench/bench_table.c
@@ -1,7 +1,8 @@
 /*
- * A balancer's table at the users' target: 110,000 targets behind 34,000
- * addresses. Prints memory for each target, time to take a document, one
- * change of a member, one new flow and one packet of an open flow.
+ * Measures a balancer's router at the size that the users require: 110,000
+ * targets behind 34,000 addresses. Prints memory per target and the times to
+ * apply a document, change a member, open a flow and route a call of an open
+ * flow.
  *
  *	bench_table [TARGETS [SERVICES]]
  */
@@ -19,7 +20,7 @@
 #define TARGETS 110000
 #define SERVICES 34000
 #define DOMAINS 14
-#define ROUNDS 20000
+#define OPERATIONS 20000
 
 static uint64_t forwarded;
 
@@ -92,7 +93,7 @@
 	dy_router_set_member(router, &member, 1000);
 }
 
-/* dy_service_id of a service and a call of it, with a token or without. */
+/* Writes a call of an open flow, with a token, or of a new flow if !ring. */
 static size_t write_call(uint8_t *out, size_t cap, dy_keyring_t *ring,
 			 unsigned target, unsigned services, uint32_t xid)
 {
@@ -118,14 +119,14 @@
 static double time_calls(dy_router_t *router, dy_keyring_t *ring,
 			 unsigned targets, unsigned services)
 {
-	static uint8_t calls[ROUNDS][256];
-	static dy_router_datagram_t datagrams[ROUNDS];
+	static uint8_t calls[OPERATIONS][256];
+	static dy_router_datagram_t datagrams[OPERATIONS];
 	char name[32];
 	double start;
 	unsigned i;
 	unsigned target;
 
-	for (i = 0; i < ROUNDS; i++) {
+	for (i = 0; i < OPERATIONS; i++) {
 		target = i * 7919U % targets;
 		g_snprintf(name, sizeof(name), "s%u", target % services);
 		datagrams[i].service = dy_service_id(name);
@@ -135,9 +136,9 @@
 		datagrams[i].caller.port = i;
 	}
 	start = now_us();
-	for (i = 0; i < ROUNDS; i++)
+	for (i = 0; i < OPERATIONS; i++)
 		dy_router_receive(router, &datagrams[i], 1000000);
-	return (now_us() - start) / ROUNDS;
+	return (now_us() - start) / OPERATIONS;
 }
 
 static dy_router_t *create_router(dy_keyring_t *ring, dy_metrics_t *metrics,
@@ -155,7 +156,7 @@
 	return dy_router_create(&config);
 }
 
-static double take_document(dy_router_t *router, const GString *text)
+static double time_set_document(dy_router_t *router, const GString *text)
 {
 	double start = now_us();
 
@@ -168,8 +169,8 @@
 		    unsigned services)
 {
 	GString *text = write_document(services);
-	size_t empty = used_bytes();
-	size_t with_document;
+	size_t empty_bytes = used_bytes();
+	size_t document_table_bytes;
 	double document_us;
 	double change_us;
 	double new_us;
@@ -177,24 +178,24 @@
 	double start;
 	unsigned i;
 
-	document_us = take_document(router, text);
-	with_document = used_bytes();
+	document_us = time_set_document(router, text);
+	document_table_bytes = used_bytes();
 	for (i = 0; i < targets; i++)
 		set_member(router, i, services, DY_MEMBER_SERVING);
 	printf("bench=table targets=%u services=%u document_bytes=%zu "
 	       "bytes_a_service=%zu bytes_a_target=%zu total_mb=%.1f\n",
 	       targets, services, (size_t)text->len,
-	       (with_document - empty) / services,
-	       (used_bytes() - with_document) / targets,
-	       (double)(used_bytes() - empty) / 1e6);
+	       (document_table_bytes - empty_bytes) / services,
+	       (used_bytes() - document_table_bytes) / targets,
+	       (double)(used_bytes() - empty_bytes) / 1e6);
 	start = now_us();
-	for (i = 0; i < ROUNDS; i++)
+	for (i = 0; i < OPERATIONS; i++)
 		set_member(router, i * 7919U % targets, services,
 			   i % 2 ? DY_MEMBER_SERVING : DY_MEMBER_DRAINING);
-	change_us = (now_us() - start) / ROUNDS;
+	change_us = (now_us() - start) / OPERATIONS;
 	printf("bench=table_change first_document_ms=%.1f "
 	       "next_document_ms=%.1f member_change_us=%.2f\n",
-	       document_us / 1000, take_document(router, text) / 1000,
+	       document_us / 1000, time_set_document(router, text) / 1000,
 	       change_us);
 	for (i = 0; i < targets; i++)
 		set_member(router, i, services, DY_MEMBER_SERVING);
@@ -218,7 +219,7 @@
 	dy_router_t *router;
 
 	if (!targets || !services) {
-		fputs("bench_table: TARGETS and SERVICES are above 0\n",
+		fputs("bench_table: TARGETS and SERVICES must be > 0\n",
 		      stderr);
 		return 2;
 	}
--- a/bench/common_call.c
+++ b/bench/common_call.c
@@ -2,20 +2,20 @@
 
 #include "common_parts.h"
 
-/* What callers wait for an answer: theirs is the deadline. */
+/* Time from the issue of a call to its deadline. */
 #define SUBMISSION_BUDGET_US (2 * US_PER_S)
 #define PULL_BUDGET_US (1 * US_PER_S)
 #define LONG_BUDGET_US (10 * US_PER_S)
 
-/* Keys that pulls ask for when none is hot. */
+/* Number of keys that pulls request, besides the hot key. */
 #define KEYS 10000
 #define HOT_KEY 1
 
-/* A caller whose flow is not open tries again after this. */
-#define NOT_OPEN_US (100 * US_PER_MS)
+/* Delay before a caller retries a call whose flow is not open. */
+#define NOT_OPEN_RETRY_US (100 * US_PER_MS)
 
-/* How soon a caller comes back that was not told when. */
-#define UNTOLD_RETRY_US (200 * US_PER_MS)
+/* Delay before a caller retries if retry times are withheld. */
+#define DEFAULT_RETRY_US (200 * US_PER_MS)
 
 static void send_call(void *context, void *argument);
 
@@ -86,15 +86,15 @@
 		return;
 	}
 	if (call->flow->target < 0) {
-		heap_add(world->heap, now_us + NOT_OPEN_US, send_call, world,
-			 call);
+		heap_add(world->heap, now_us + NOT_OPEN_RETRY_US, send_call,
+			 world, call);
 		return;
 	}
 	call->tried_us = now_us;
 	if (call->is_counted)
 		class_of(call)->tries++;
-	call->balancer = balancer_any(world);
-	heap_add(world->heap, now_us + world->setting->client_us,
+	call->balancer = balancer_pick_random(world);
+	heap_add(world->heap, now_us + world->setting->caller_us,
 		 arrive_at_balancer, NULL, call);
 }
 
@@ -150,7 +150,7 @@
 	call_destroy(call);
 }
 
-/* A refused caller comes back when it was told to, if that is in time. */
+/* Retries at the refusal's retry time, if that is before the deadline. */
 static void retry_refused(call_t *call)
 {
 	world_t *world = call->world;
@@ -160,8 +160,8 @@
 	if (call->is_counted)
 		samples_add(&class_of(call)->refusal_ms,
 			    (double)(now_us - call->tried_us) / US_PER_MS);
-	if (world_hides(world, HIDE_RETRY_TIME))
-		after_us = UNTOLD_RETRY_US;
+	if (world_withholds(world, WITHHOLD_RETRY_TIME))
+		after_us = DEFAULT_RETRY_US;
 	if (now_us + after_us < call->deadline_us)
 		heap_add(world->heap, now_us + after_us, send_call, world,
 			 call);
@@ -198,13 +198,14 @@
 	(void)context;
 	target = &call->balancer->targets[call->agent->index];
 	dy_pick_note_answer(target, &call->report, 0, world_now_ms(world));
-	if (call->end == CALL_REFUSED && !world_hides(world, HIDE_TRUST))
+	if (call->end == CALL_REFUSED &&
+	    !world_withholds(world, WITHHOLD_REFUSALS))
 		dy_pick_note_refusal(target);
-	heap_add(world->heap, heap_now(world->heap) + world->setting->client_us,
+	heap_add(world->heap, heap_now(world->heap) + world->setting->caller_us,
 		 arrive_at_caller, NULL, call);
 }
 
-void call_ended(call_t *call)
+void call_send_answer(call_t *call)
 {
 	world_t *world = call->world;
 
--- a/bench/common_flow.c
+++ b/bench/common_flow.c
@@ -1,36 +1,36 @@
 #include "common_parts.h"
 
-/* A balancer takes an opening as lost after this. */
+/* Time after which a balancer considers an opening lost. */
 #define OPEN_TIMEOUT_US (500 * US_PER_MS)
 
-/* A caller that was not told when to come back tries again after this. */
-#define UNTOLD_OPEN_US (1 * US_PER_S)
+/* Delay before a caller retries an opening without a given retry time. */
+#define DEFAULT_OPEN_RETRY_US (1 * US_PER_S)
 
-/* Tries of one opening inside the system. */
-#define OPEN_TRIES 3
+/* Attempts of one opening by a balancer, and the backoff between them. */
+#define OPEN_ATTEMPTS_MAX 3
 #define OPEN_BACKOFF_MS 50
 #define OPEN_BACKOFF_MAX_MS 500
 
-/* Calls that a flow of a reconnecting crowd has stored up. */
+/* Calls that a caller has queued by the time its flow reopens. */
 #define BACKLOG_CALLS 2
 
-typedef enum open_end { OPEN_TAKEN, OPEN_AT_CAP, OPEN_LATER } open_end_t;
+typedef enum open_end { OPEN_ADMITTED, OPEN_AT_CAP, OPEN_DEFERRED } open_end_t;
 
 typedef struct opening {
-	dy_list_t link; /* in the world's openings */
+	dy_list_t link; /* in world::openings */
 	world_t *world;
 	flow_t *flow;
 	balancer_t *balancer;
 	agent_t *agent;
-	uint32_t tries;
+	uint32_t attempts;
 	open_end_t end;
 	uint32_t retry_after_ms;
 	dy_pick_report_t report;
 } opening_t;
 
-static void choose_target(void *context, void *argument);
+static void send_opening(void *context, void *argument);
 
-balancer_t *balancer_any(world_t *world)
+balancer_t *balancer_pick_random(world_t *world)
 {
 	balancer_t *balancer;
 
@@ -47,7 +47,7 @@
 	g_free(opening);
 }
 
-void flow_forget_openings(world_t *world)
+void flow_destroy_openings(world_t *world)
 {
 	dy_list_t *pos, *tmp;
 
@@ -63,10 +63,10 @@
 	dy_list_append(&world->openings, &opening->link);
 	opening->world = world;
 	opening->flow = argument;
-	opening->balancer = balancer_any(world);
+	opening->balancer = balancer_pick_random(world);
 	dy_retry_budget_deposit(&opening->balancer->retries);
-	heap_add(world->heap, heap_now(world->heap) + world->setting->client_us,
-		 choose_target, NULL, opening);
+	heap_add(world->heap, heap_now(world->heap) + world->setting->caller_us,
+		 send_opening, NULL, opening);
 }
 
 void flow_open(world_t *world, flow_t *flow)
@@ -86,8 +86,8 @@
 	flow->closed_us = heap_now(world->heap);
 }
 
-/* The caller's own next try, after as long as it was told or thinks fit. */
-static void try_later(opening_t *opening, uint64_t after_us)
+/* Ends this opening; the caller starts another one after after_us. */
+static void retry_from_caller(opening_t *opening, uint64_t after_us)
 {
 	world_t *world = opening->world;
 
@@ -96,37 +96,38 @@
 	destroy_opening(opening);
 }
 
-/* Send it to another target, if the balancer's budget for retries allows. */
-static void try_elsewhere(opening_t *opening)
+/* Picks a target again if the retry budget allows; else the caller retries. */
+static void retry_from_balancer(opening_t *opening)
 {
 	world_t *world = opening->world;
 	uint32_t wait_ms;
 
 	world->result->opens_failed++;
-	if (world_hides(world, HIDE_RETRY_BUDGET)) {
-		choose_target(NULL, opening);
+	if (world_withholds(world, WITHHOLD_RETRY_BUDGET)) {
+		send_opening(NULL, opening);
 		return;
 	}
-	if (world_hides(world, PLAIN_FIFO) || ++opening->tries >= OPEN_TRIES ||
+	if (world_withholds(world, PLAIN_FIFO) ||
+	    ++opening->attempts >= OPEN_ATTEMPTS_MAX ||
 	    !dy_retry_budget_withdraw(&opening->balancer->retries,
 				      DY_RETRY_IDEMPOTENT)) {
-		try_later(opening, UNTOLD_OPEN_US);
+		retry_from_caller(opening, DEFAULT_OPEN_RETRY_US);
 		return;
 	}
-	wait_ms = dy_retry_backoff_ms(opening->tries, OPEN_BACKOFF_MS,
+	wait_ms = dy_retry_backoff_ms(opening->attempts, OPEN_BACKOFF_MS,
 				      OPEN_BACKOFF_MAX_MS, world->rand);
 	heap_add(world->heap, heap_now(world->heap) + wait_ms * US_PER_MS,
-		 choose_target, NULL, opening);
+		 send_opening, NULL, opening);
 }
 
-static void opening_lost(void *context, void *argument)
+static void open_timed_out(void *context, void *argument)
 {
 	opening_t *opening = argument;
 
 	(void)context;
 	dy_pick_note_failure(&opening->balancer->targets[opening->agent->index],
 			     1, world_now_ms(opening->world));
-	try_elsewhere(opening);
+	retry_from_balancer(opening);
 }
 
 static void flow_opened(opening_t *opening)
@@ -141,9 +142,9 @@
 	if (flow->closed_us >= WARM_UP_US)
 		samples_add(&world->result->open_ms,
 			    (double)(now_us - flow->closed_us) / US_PER_MS);
-	for (i = 0; flow->is_crowd && i < BACKLOG_CALLS; i++)
+	for (i = 0; flow->is_reconnecting && i < BACKLOG_CALLS; i++)
 		call_issue(world, flow, CLASS_SUBMISSION);
-	flow->is_crowd = 0;
+	flow->is_reconnecting = 0;
 	if (!opening->agent->is_up) {
 		flow->target = -1;
 		flow->closed_us = now_us;
@@ -161,47 +162,49 @@
 	dy_pick_note_answer(&opening->balancer->targets[opening->agent->index],
 			    &opening->report, 1, world_now_ms(world));
 	switch (opening->end) {
-	case OPEN_TAKEN:
+	case OPEN_ADMITTED:
 		flow_opened(opening);
 		break;
 	case OPEN_AT_CAP:
-		if (!world_hides(world, HIDE_TRUST))
+		if (!world_withholds(world, WITHHOLD_REFUSALS))
 			dy_pick_note_refusal(
 				&opening->balancer
 					 ->targets[opening->agent->index]);
-		try_elsewhere(opening);
+		retry_from_balancer(opening);
 		break;
-	case OPEN_LATER:
+	case OPEN_DEFERRED:
 		world->result->opens_deferred++;
-		try_later(opening, opening->retry_after_ms * US_PER_MS);
+		retry_from_caller(opening, opening->retry_after_ms * US_PER_MS);
 		break;
 	}
 }
 
-static void decide_opening(opening_t *opening)
+static void admit_opening(opening_t *opening)
 {
 	world_t *world = opening->world;
 	agent_t *agent = opening->agent;
 	dy_admission_load_t load;
-	uint32_t later_ms = 0;
+	uint32_t retry_after_ms = 0;
 
 	dy_admission_load(agent->admission, heap_now(world->heap), &load);
-	dy_session_rate_limit_adapt(&agent->crowd,
+	dy_session_rate_limit_adapt(&agent->session_limit,
 				    load.expected_wait_us / US_PER_MS,
 				    world_now_ms(world));
-	opening->end = OPEN_TAKEN;
+	opening->end = OPEN_ADMITTED;
 	if (agent->sessions >= world->setting->session_cap) {
 		opening->end = OPEN_AT_CAP;
-	} else if (!world_hides(world, HIDE_CROWD | PLAIN_FIFO) &&
+	} else if (!world_withholds(world,
+				    WITHHOLD_SESSION_RATE_LIMIT | PLAIN_FIFO) &&
 		   heap_now(world->heap) > WARM_UP_US) {
-		later_ms = dy_session_rate_limit_admit(
-			&agent->crowd, world->rand, world_now_ms(world));
+		retry_after_ms = dy_session_rate_limit_admit(
+			&agent->session_limit, world->rand,
+			world_now_ms(world));
 	}
-	if (later_ms) {
-		opening->end = OPEN_LATER;
-		opening->retry_after_ms = later_ms;
+	if (retry_after_ms) {
+		opening->end = OPEN_DEFERRED;
+		opening->retry_after_ms = retry_after_ms;
 	}
-	if (opening->end == OPEN_TAKEN)
+	if (opening->end == OPEN_ADMITTED)
 		agent->sessions++;
 }
 
@@ -214,18 +217,18 @@
 
 	(void)context;
 	if (!agent->is_up) {
-		heap_add(world->heap, now_us + OPEN_TIMEOUT_US, opening_lost,
+		heap_add(world->heap, now_us + OPEN_TIMEOUT_US, open_timed_out,
 			 NULL, opening);
 		return;
 	}
-	decide_opening(opening);
+	admit_opening(opening);
 	agent_report(agent, &opening->report);
 	heap_add(world->heap,
 		 now_us + world_hop_us(world, opening->balancer, agent),
 		 opening_answered, NULL, opening);
 }
 
-static uint64_t free_weight(const dy_pick_target_t *target)
+static uint64_t free_capacity(const dy_pick_target_t *target)
 {
 	uint64_t sessions = target->sessions + target->pending;
 	uint64_t work = (uint64_t)target->in_flight + target->queued;
@@ -237,8 +240,8 @@
 	       (target->slots + work);
 }
 
-/* The ways of choosing that the module was measured against. */
-static int choose_other_way(world_t *world, balancer_t *balancer)
+/* Picks by one of the algorithms that the module is compared with. */
+static int pick_alternative(world_t *world, balancer_t *balancer)
 {
 	uint32_t n = world->setting->targets;
 	uint64_t total = 0, weight, best = 0;
@@ -248,7 +251,7 @@
 	if (!n)
 		return -1;
 	for (i = 0; i < n; i++) {
-		weight = free_weight(&balancer->targets[i]);
+		weight = free_capacity(&balancer->targets[i]);
 		total += weight;
 		if (weight > best) {
 			best = weight;
@@ -257,7 +260,7 @@
 	}
 	if (world->policy->pick == PICK_ROUND_ROBIN) {
 		do
-			i = balancer->turn++ % n;
+			i = balancer->next_target++ % n;
 		while (balancer->targets[i].draining);
 		return (int)i;
 	}
@@ -265,7 +268,7 @@
 		return least;
 	best = (uint64_t)(g_rand_double(world->rand) * (double)total);
 	for (i = 0; i < n - 1; i++) {
-		weight = free_weight(&balancer->targets[i]);
+		weight = free_capacity(&balancer->targets[i]);
 		if (best < weight)
 			break;
 		best -= weight;
@@ -273,32 +276,32 @@
 	return (int)i;
 }
 
-static int choose(world_t *world, balancer_t *balancer)
+static int pick(world_t *world, balancer_t *balancer)
 {
 	if (world->policy->pick != PICK_MODULE)
-		return choose_other_way(world, balancer);
+		return pick_alternative(world, balancer);
 	return dy_pick(&balancer->config, balancer->targets,
 		       world->setting->targets, world->rand,
 		       world_now_ms(world));
 }
 
-static void choose_target(void *context, void *argument)
+static void send_opening(void *context, void *argument)
 {
 	opening_t *opening = argument;
 	world_t *world = opening->world;
 	balancer_t *balancer = opening->balancer;
-	int chosen = choose(world, balancer);
+	int chosen = pick(world, balancer);
 
 	(void)context;
 	if (chosen < 0) {
 		world->result->opens_failed++;
-		try_later(opening, UNTOLD_OPEN_US);
+		retry_from_caller(opening, DEFAULT_OPEN_RETRY_US);
 		return;
 	}
 	world->result->opens++;
 	opening->agent = &world->agents[chosen];
 	dy_pick_note_opening(&balancer->targets[chosen], world_now_ms(world));
-	if (world_hides(world, HIDE_OWN_COUNT))
+	if (world_withholds(world, WITHHOLD_PENDING))
 		balancer->targets[chosen].pending = 0;
 	heap_add(world->heap,
 		 heap_now(world->heap) +
--- a/bench/common_heap.c
+++ b/bench/common_heap.c
@@ -4,7 +4,7 @@
 
 typedef struct event {
 	uint64_t at_us;
-	uint64_t number;
+	uint64_t sequence;
 	event_cb_t *run;
 	void *context;
 	void *argument;
@@ -38,7 +38,7 @@
 {
 	if (a->at_us != b->at_us)
 		return a->at_us < b->at_us;
-	return a->number < b->number;
+	return a->sequence < b->sequence;
 }
 
 void heap_add(heap_t *heap, uint64_t at_us, event_cb_t *event, void *context,
@@ -59,7 +59,7 @@
 	heap->events[i] = new;
 }
 
-static event_t take_first(heap_t *heap)
+static event_t pop_first(heap_t *heap)
 {
 	event_t first = heap->events[0];
 	event_t last = heap->events[--heap->n];
@@ -87,7 +87,7 @@
 	event_t event;
 
 	while (heap->n && heap->events[0].at_us <= until_us) {
-		event = take_first(heap);
+		event = pop_first(heap);
 		heap->now_us = event.at_us;
 		event.run(event.context, event.argument);
 	}
--- a/bench/common_stats.c
+++ b/bench/common_stats.c
@@ -18,22 +18,22 @@
 	g_array_append_val(samples->values, value);
 }
 
-static gint compare(gconstpointer a, gconstpointer b)
+static gint compare_doubles(gconstpointer a, gconstpointer b)
 {
 	double x = *(const double *)a, y = *(const double *)b;
 
 	return (x > y) - (x < y);
 }
 
-double samples_percentile(samples_t *samples, double part)
+double samples_percentile(samples_t *samples, double fraction)
 {
-	guint at;
+	guint index;
 
 	if (!samples->values->len)
 		return 0;
-	g_array_sort(samples->values, compare);
-	at = (guint)(part * (samples->values->len - 1));
-	return g_array_index(samples->values, double, at);
+	g_array_sort(samples->values, compare_doubles);
+	index = (guint)(fraction * (samples->values->len - 1));
+	return g_array_index(samples->values, double, index);
 }
 
 double samples_mean(const samples_t *samples)
--- a/bench/common_world.c
+++ b/bench/common_world.c
@@ -5,32 +5,32 @@
 
 #include "common_parts.h"
 
-#define SAMPLE_US (20 * US_PER_MS)
+#define SAMPLE_INTERVAL_US (20 * US_PER_MS)
 #define END_US (WORLD_SECONDS * US_PER_S)
 
-/* Calls issued by then have their deadline before the end of all. */
+/* End of the run; all calls issued until END_US have their deadline before. */
 #define DRAINED_US (END_US + 11 * US_PER_S)
 
-/* Balancers learn from membership that a target has gone or joined. */
-#define MEMBERSHIP_US (3 * US_PER_S)
+/* Delay until membership tells the balancers of a failed target. */
+#define MEMBERSHIP_DELAY_US (3 * US_PER_S)
 
 #define OUTAGE_US (3 * US_PER_S)
 
-/* A crowd opens its flows anew within this time. */
-#define CROWD_MS 200
+/* Time within which all flows that an event closed reopen. */
+#define REOPEN_WINDOW_MS 200
 
-#define BURST_MS 50
+#define BURST_WINDOW_MS 50
 
-/* Retries inside the system: a tenth of the openings, 14 at once. */
+/* Retry budget of a balancer: 10% of the openings, up to 14 at once. */
 #define RETRY_PERMILLE 100
 #define RETRY_BURST 14
 
-/* One process of arrivals. */
+/* A Poisson process of calls of one class. */
 typedef struct source {
 	world_t *world;
-	double rate;
+	double rate; /* per second */
 	call_class_t klass;
-	int flow; /* -1: any */
+	int flow; /* -1: a random one for each call */
 } source_t;
 
 const char *class_name(call_class_t klass)
@@ -41,30 +41,30 @@
 	return names[klass];
 }
 
-static void each_samples(result_t *result, void (*each)(samples_t *))
+static void for_each_samples(result_t *result, void (*apply)(samples_t *))
 {
 	int i;
 
 	for (i = 0; i < CLASSES; i++) {
-		each(&result->classes[i].wait_ms);
-		each(&result->classes[i].refusal_ms);
+		apply(&result->classes[i].wait_ms);
+		apply(&result->classes[i].refusal_ms);
 	}
-	each(&result->open_ms);
-	each(&result->work_max);
-	each(&result->work_variation);
-	each(&result->flow_max);
-	each(&result->flow_variation);
+	apply(&result->open_ms);
+	apply(&result->work_max);
+	apply(&result->work_variation);
+	apply(&result->flow_max);
+	apply(&result->flow_variation);
 }
 
 void result_init(result_t *result)
 {
 	memset(result, 0, sizeof(*result));
-	each_samples(result, samples_init);
+	for_each_samples(result, samples_init);
 }
 
 void result_clear(result_t *result)
 {
-	each_samples(result, samples_clear);
+	for_each_samples(result, samples_clear);
 }
 
 uint64_t world_hop_us(const world_t *world, const balancer_t *balancer,
@@ -89,18 +89,18 @@
 	return 1 + (uint64_t)(draw_exponential(world) * US_PER_S / rate);
 }
 
-static flow_t *any_flow(world_t *world)
+static flow_t *random_flow(world_t *world)
 {
 	return &world->flows[g_rand_int_range(world->rand, 0,
 					      (gint32)world->setting->flows)];
 }
 
-static void arrive(void *context, void *argument)
+static void issue_next_call(void *context, void *argument)
 {
 	source_t *source = context;
 	world_t *world = source->world;
 	uint64_t now_us = heap_now(world->heap);
-	flow_t *flow = source->flow < 0 ? any_flow(world)
+	flow_t *flow = source->flow < 0 ? random_flow(world)
 					: &world->flows[source->flow];
 
 	(void)argument;
@@ -108,7 +108,7 @@
 		return;
 	call_issue(world, flow, source->klass);
 	heap_add(world->heap, now_us + world_draw_gap_us(world, source->rate),
-		 arrive, source, NULL);
+		 issue_next_call, source, NULL);
 }
 
 static void add_source(world_t *world, source_t *source, call_class_t klass,
@@ -119,14 +119,15 @@
 	source->rate = load * capacity;
 	source->flow = flow;
 	if (load > 0)
-		heap_add(world->heap, US_PER_S / 2, arrive, source, NULL);
+		heap_add(world->heap, US_PER_S / 2, issue_next_call, source,
+			 NULL);
 }
 
 static void churn_flow(void *context, void *argument)
 {
 	world_t *world = context;
-	flow_t *flow = any_flow(world);
-	double rate = world->pattern->churn * world->setting->flows;
+	flow_t *flow = random_flow(world);
+	double rate = world->pattern->churn_per_s * world->setting->flows;
 
 	(void)argument;
 	if (heap_now(world->heap) >= END_US)
@@ -170,20 +171,21 @@
 		return;
 	if (now_us >= EVENT_US)
 		sample_spread(world);
-	heap_add(world->heap, now_us + SAMPLE_US, sample, world, NULL);
+	heap_add(world->heap, now_us + SAMPLE_INTERVAL_US, sample, world, NULL);
 }
 
 static void reopen_flow(void *context, void *argument)
 {
 	flow_t *flow = argument;
 
-	flow->is_crowd = heap_now(((world_t *)context)->heap) >= WARM_UP_US;
+	flow->is_reconnecting =
+		heap_now(((world_t *)context)->heap) >= WARM_UP_US;
 	flow_open(context, flow);
 }
 
-static void reopen_soon(world_t *world, flow_t *flow)
+static void schedule_reopen(world_t *world, flow_t *flow)
 {
-	uint64_t after_ms = g_rand_int_range(world->rand, 0, CROWD_MS);
+	uint64_t after_ms = g_rand_int_range(world->rand, 0, REOPEN_WINDOW_MS);
 
 	flow_close(world, flow);
 	heap_add(world->heap, heap_now(world->heap) + after_ms * US_PER_MS,
@@ -197,18 +199,18 @@
 
 static void make_burst(world_t *world, double capacity)
 {
-	uint32_t calls = (uint32_t)(world->pattern->burst * capacity);
+	uint32_t calls = (uint32_t)(world->pattern->burst_s * capacity);
 	uint64_t after_ms;
 
 	for (; calls; calls--) {
-		after_ms = g_rand_int_range(world->rand, 0, BURST_MS);
+		after_ms = g_rand_int_range(world->rand, 0, BURST_WINDOW_MS);
 		heap_add(world->heap,
 			 heap_now(world->heap) + after_ms * US_PER_MS,
-			 burst_call, world, any_flow(world));
+			 burst_call, world, random_flow(world));
 	}
 }
 
-/* Flows of targets that are gone break and open anew. */
+/* Closes and reopens the flows of failed targets. */
 static void break_flows(world_t *world)
 {
 	flow_t *flow;
@@ -219,11 +221,11 @@
 		if (flow->target < 0 || world->agents[flow->target].is_up)
 			continue;
 		world->result->broken_flows++;
-		reopen_soon(world, flow);
+		schedule_reopen(world, flow);
 	}
 }
 
-static void lose_domain(world_t *world)
+static void fail_domain(world_t *world)
 {
 	uint32_t i;
 
@@ -236,7 +238,7 @@
 	break_flows(world);
 }
 
-static void lose_newest(void *context, void *argument)
+static void fail_joined_target(void *context, void *argument)
 {
 	world_t *world = context;
 
@@ -266,7 +268,7 @@
 		 world, NULL);
 }
 
-/* Membership reaches the balancers: the gone drain, the joined is there. */
+/* Updates the balancers' members: failed targets drain, others serve. */
 static void update_members(void *context, void *argument)
 {
 	world_t *world = context;
@@ -302,28 +304,30 @@
 	       US_PER_S / (double)world->setting->service_us;
 }
 
-static void happen(void *context, void *argument)
+static void start_event(void *context, void *argument)
 {
 	world_t *world = context;
 	uint32_t i;
 
 	(void)argument;
-	if (world->pattern->burst > 0)
+	if (world->pattern->burst_s > 0)
 		make_burst(world, capacity_of(world));
-	if (world->pattern->domain_gone) {
-		lose_domain(world);
-		heap_add(world->heap, heap_now(world->heap) + MEMBERSHIP_US,
+	if (world->pattern->domain_fails) {
+		fail_domain(world);
+		heap_add(world->heap,
+			 heap_now(world->heap) + MEMBERSHIP_DELAY_US,
 			 update_members, world, NULL);
 	}
-	if (world->pattern->joins)
+	if (world->pattern->target_joins)
 		join_target(world);
-	if (world->pattern->young_fails)
+	if (world->pattern->joined_target_fails)
 		heap_add(world->heap, heap_now(world->heap) + OUTAGE_US,
-			 lose_newest, world, NULL);
+			 fail_joined_target, world, NULL);
 	if (world->pattern->outage)
 		start_outage(world);
-	for (i = 0; world->pattern->reopen && i < world->setting->flows; i++)
-		reopen_soon(world, &world->flows[i]);
+	for (i = 0; world->pattern->flows_reopen && i < world->setting->flows;
+	     i++)
+		schedule_reopen(world, &world->flows[i]);
 }
 
 static void init_balancer(world_t *world, uint32_t index)
@@ -337,17 +341,17 @@
 	balancer->index = index;
 	balancer->domain = index % WORLD_DOMAINS;
 	balancer->is_up = 1;
-	balancer->turn = index;
-	dy_pick_config_init(config, setting->weigh);
+	balancer->next_target = index;
+	dy_pick_config_init(config, setting->priority);
 	config->balancers = setting->balancers;
 	config->domain = (uint16_t)balancer->domain;
-	if (world_hides(world, HIDE_SLOW_START))
+	if (world_withholds(world, WITHHOLD_SLOW_START))
 		config->slow_start_ms = 0;
-	if (world_hides(world, HIDE_EJECTION)) {
+	if (world_withholds(world, WITHHOLD_EJECTION)) {
 		config->eject_failures = UINT32_MAX;
 		config->stall_ms = UINT32_MAX;
 	}
-	if (world_hides(world, HIDE_DOMAIN))
+	if (world_withholds(world, WITHHOLD_DOMAIN))
 		config->local_bias_permille = 0;
 	for (i = 0; i < setting->targets; i++) {
 		dy_pick_target_init(
@@ -395,7 +399,7 @@
 
 	DY_LIST_EACH_SAFE(pos, tmp, &world->calls)
 	call_destroy(DY_LIST_ITEM(pos, call_t, link));
-	flow_forget_openings(world);
+	flow_destroy_openings(world);
 	for (i = 0; i < world->setting->targets; i++)
 		agent_clear(&world->agents[i]);
 	g_free(world->flows);
@@ -421,16 +425,16 @@
 		   capacity, -1);
 	add_source(&world, &sources[1], CLASS_PULL, pattern->pulls, capacity,
 		   -1);
-	add_source(&world, &sources[2], CLASS_LONG, pattern->longs,
+	add_source(&world, &sources[2], CLASS_LONG, pattern->long_pulls,
 		   capacity / LONG_FACTOR, -1);
 	add_source(&world, &sources[3], CLASS_HOT, pattern->hot_caller,
 		   capacity / setting->targets, 0);
 	add_source(&world, &sources[4], CLASS_HOT, pattern->hot_key, capacity,
 		   -1);
-	if (pattern->churn > 0)
+	if (pattern->churn_per_s > 0)
 		heap_add(world.heap, US_PER_S, churn_flow, &world, NULL);
 	heap_add(world.heap, US_PER_S, sample, &world, NULL);
-	heap_add(world.heap, EVENT_US, happen, &world, NULL);
+	heap_add(world.heap, EVENT_US, start_event, &world, NULL);
 	heap_run(world.heap, DRAINED_US);
 	result->joined_share = joined_share(&world);
 	clear_world(&world);
--- a/bench/measure_control.c
+++ b/bench/measure_control.c
@@ -1,8 +1,9 @@
 /*
- * How long all members of a site take to be served after every process was
- * killed, in simulated time: the real log, poll queue, invitations and pace of
- * polls, with a processor for each control that takes a given time a message
- * (tests/fake_site.h). Rows of key=value, or CSV; one a size and a variant.
+ * Measures the time until all members of a site are served after every process
+ * was killed, in simulated time. It uses the real log, poll queue, invitations
+ * and poll pacing, and a simulated processor for each control that takes a
+ * given time per message (tests/fake_site.h). Prints a row of key=value or CSV
+ * for each size and variant.
  */
 
 #include <stdio.h>
@@ -18,28 +19,30 @@
 
 static int seed = DEFAULT_SEED;
 static int seconds = DEFAULT_SECONDS;
-static int most = 1000;
+static int max_members = 1000;
 static int poll_us = 900;
 static int csv;
 
 static const GOptionEntry entries[] = {
-	{ "seed", 0, 0, G_OPTION_ARG_INT, &seed, "of all that is drawn", "N" },
-	{ "seconds", 0, 0, G_OPTION_ARG_INT, &seconds, "that a run lasts",
-	  "N" },
-	{ "members", 0, 0, G_OPTION_ARG_INT, &most, "at most, of 20 to 12000",
+	{ "seed", 0, 0, G_OPTION_ARG_INT, &seed, "seed of the random generator",
 	  "N" },
+	{ "seconds", 0, 0, G_OPTION_ARG_INT, &seconds,
+	  "simulated time of a run", "N" },
+	{ "members", 0, 0, G_OPTION_ARG_INT, &max_members,
+	  "largest number of members, 20 to 12000", "N" },
 	{ "poll-us", 0, 0, G_OPTION_ARG_INT, &poll_us,
-	  "of a control's time for an answered poll", "US" },
+	  "processor time of a control per answered poll", "US" },
 	{ "csv", 0, 0, G_OPTION_ARG_NONE, &csv, "print CSV", NULL },
 	{ 0 },
 };
 
+/* Protections that are disabled; see fake_site_options_t. */
 typedef struct variant {
 	const char *name;
 	int fixed_retry;
 	int no_queue;
 	int no_invitations;
-	int leader_pages;
+	int no_images;
 } variant_t;
 
 static const variant_t variants[] = {
@@ -50,7 +53,7 @@
 
 static const unsigned sizes[] = { 20, 100, 300, 1000, 3000, 12000 };
 
-static fake_site_result_t play(unsigned members, const variant_t *variant)
+static fake_site_result_t simulate(unsigned members, const variant_t *variant)
 {
 	fake_site_options_t options = {
 		.seed = (uint32_t)seed,
@@ -63,14 +66,14 @@
 		.fixed_retry = variant->fixed_retry,
 		.no_queue = variant->no_queue,
 		.no_invitations = variant->no_invitations,
-		.no_images = variant->leader_pages,
+		.no_images = variant->no_images,
 	};
-	fake_site_t *herd = fake_site_create(&options);
+	fake_site_t *site = fake_site_create(&options);
 	fake_site_result_t result;
 
-	fake_site_run(herd, (uint32_t)seconds * 1000);
-	result = fake_site_result(herd);
-	fake_site_destroy(herd);
+	fake_site_run(site, (uint32_t)seconds * 1000);
+	result = fake_site_result(site);
+	fake_site_destroy(site);
 	return result;
 }
 
@@ -107,8 +110,8 @@
 		g_error_free(error);
 		return 0;
 	}
-	if (argc > 1 || seconds < 1 || most < (int)sizes[0] ||
-	    most > (int)sizes[G_N_ELEMENTS(sizes) - 1] || poll_us < 1) {
+	if (argc > 1 || seconds < 1 || max_members < (int)sizes[0] ||
+	    max_members > (int)sizes[G_N_ELEMENTS(sizes) - 1] || poll_us < 1) {
 		fprintf(stderr, "measure_control: a value is out of range; "
 				"see --help\n");
 		return 0;
@@ -130,10 +133,10 @@
 		     "half_ms,most_ms,all_ms,elections,quorum_lost,"
 		     "asked_most");
 	for (i = 0; i < G_N_ELEMENTS(sizes); i++)
-		for (v = 0;
-		     v < G_N_ELEMENTS(variants) && sizes[i] <= (unsigned)most;
+		for (v = 0; v < G_N_ELEMENTS(variants) &&
+			    sizes[i] <= (unsigned)max_members;
 		     v++) {
-			result = play(sizes[i], &variants[v]);
+			result = simulate(sizes[i], &variants[v]);
 			print_row(sizes[i], variants[v].name, &result);
 		}
 	return EXIT_SUCCESS;
--- a/bench/measure_policy.c
+++ b/bench/measure_policy.c
@@ -1,8 +1,9 @@
 /*
- * The decisions under load, measured by what callers receive: each pattern
- * for each service, by the baseline (round robin, plain FIFO, no shedding),
- * by the modules, and by the modules without the mechanism that the pattern
- * is for. Rows of key=value; docs/MEASUREMENTS.md tells how to read them.
+ * Measures the decisions under load by what callers receive. Simulates each
+ * load pattern for each service with the baseline (round robin, plain FIFO, no
+ * shedding), with the modules, and with the modules without the mechanism that
+ * the pattern tests. Prints rows of key=value; docs/MEASUREMENTS.md explains
+ * them.
  */
 
 #include <stdio.h>
@@ -14,7 +15,7 @@
 #include "common_world.h"
 
 #define DEFAULT_SEED 1
-#define MEASURED_S (WORLD_SECONDS - 1)
+#define MEASURED_S (WORLD_SECONDS - 1) /* without the warm-up */
 
 static const setting_t settings[] = {
 	{ "ciel-noir", "readings", 1500, 1000, 10000, 7, 7, 2000, 4, 7000,
@@ -28,21 +29,22 @@
 };
 
 static const policy_t policies[] = {
-	{ "baseline", PICK_ROUND_ROBIN, PLAIN_FIFO | HIDE_CROWD },
+	{ "baseline", PICK_ROUND_ROBIN,
+	  PLAIN_FIFO | WITHHOLD_SESSION_RATE_LIMIT },
 	{ "full", PICK_MODULE, 0 },
-	{ "no-caller", PICK_MODULE, HIDE_CALLER },
-	{ "no-key", PICK_MODULE, HIDE_KEY },
-	{ "no-deadline", PICK_MODULE, HIDE_DEADLINE },
-	{ "no-kind", PICK_MODULE, HIDE_KIND },
-	{ "no-short-slot", PICK_MODULE, HIDE_SHORT_SLOT },
-	{ "no-retry-time", PICK_MODULE, HIDE_RETRY_TIME },
-	{ "no-crowd", PICK_MODULE, HIDE_CROWD },
-	{ "no-slow-start", PICK_MODULE, HIDE_SLOW_START },
-	{ "no-ejection", PICK_MODULE, HIDE_EJECTION },
-	{ "no-trust", PICK_MODULE, HIDE_TRUST },
-	{ "no-own-count", PICK_MODULE, HIDE_OWN_COUNT },
-	{ "no-domain", PICK_MODULE, HIDE_DOMAIN },
-	{ "no-retry-budget", PICK_MODULE, HIDE_RETRY_BUDGET },
+	{ "no-caller", PICK_MODULE, WITHHOLD_CALLER },
+	{ "no-key", PICK_MODULE, WITHHOLD_KEY },
+	{ "no-deadline", PICK_MODULE, WITHHOLD_DEADLINE },
+	{ "no-kind", PICK_MODULE, WITHHOLD_IDEMPOTENCE },
+	{ "no-short-slot", PICK_MODULE, WITHHOLD_SHORT_SLOT },
+	{ "no-retry-time", PICK_MODULE, WITHHOLD_RETRY_TIME },
+	{ "no-crowd", PICK_MODULE, WITHHOLD_SESSION_RATE_LIMIT },
+	{ "no-slow-start", PICK_MODULE, WITHHOLD_SLOW_START },
+	{ "no-ejection", PICK_MODULE, WITHHOLD_EJECTION },
+	{ "no-trust", PICK_MODULE, WITHHOLD_REFUSALS },
+	{ "no-own-count", PICK_MODULE, WITHHOLD_PENDING },
+	{ "no-domain", PICK_MODULE, WITHHOLD_DOMAIN },
+	{ "no-retry-budget", PICK_MODULE, WITHHOLD_RETRY_BUDGET },
 	{ "pick-round-robin", PICK_ROUND_ROBIN, 0 },
 	{ "pick-least", PICK_LEAST, 0 },
 	{ "pick-weighted", PICK_WEIGHTED, 0 },
@@ -52,12 +54,12 @@
 	{ .name = "steady",
 	  .submissions = 0.35,
 	  .pulls = 0.35,
-	  .churn = 0.02,
+	  .churn_per_s = 0.02,
 	  .policies = "no-domain pick-round-robin pick-least pick-weighted" },
 	{ .name = "burst",
 	  .submissions = 0.2,
 	  .pulls = 0.3,
-	  .burst = 0.5,
+	  .burst_s = 0.5,
 	  .policies = "no-deadline no-kind" },
 	{ .name = "hot-caller",
 	  .submissions = 0.3,
@@ -72,26 +74,26 @@
 	{ .name = "slow-target",
 	  .submissions = 0.3,
 	  .pulls = 0.3,
-	  .churn = 0.2,
-	  .slow = 5,
+	  .churn_per_s = 0.2,
+	  .slow_factor = 5,
 	  .policies = "no-deadline pick-round-robin pick-weighted" },
 	{ .name = "stalled-target",
 	  .submissions = 0.3,
 	  .pulls = 0.3,
-	  .churn = 0.2,
-	  .stalls = 1,
+	  .churn_per_s = 0.2,
+	  .target_stalls = 1,
 	  .policies = "no-deadline pick-round-robin" },
 	{ .name = "false-report",
 	  .submissions = 0.3,
 	  .pulls = 0.3,
-	  .churn = 0.05,
-	  .slow = 5,
-	  .lies = 1,
+	  .churn_per_s = 0.05,
+	  .slow_factor = 5,
+	  .reports_no_load = 1,
 	  .policies = "no-trust pick-least" },
 	{ .name = "long-among-short",
 	  .submissions = 0.2,
 	  .pulls = 0.2,
-	  .longs = 0.6,
+	  .long_pulls = 0.6,
 	  .policies = "no-short-slot" },
 	{ .name = "pulls-on-submissions",
 	  .submissions = 0.4,
@@ -112,12 +114,12 @@
 	{ .name = "reopen",
 	  .submissions = 0.3,
 	  .pulls = 0.2,
-	  .reopen = 1,
+	  .flows_reopen = 1,
 	  .policies = "no-crowd no-own-count pick-least pick-weighted" },
 	{ .name = "domain-gone",
 	  .submissions = 0.25,
 	  .pulls = 0.2,
-	  .domain_gone = 1,
+	  .domain_fails = 1,
 	  .policies = "no-crowd no-ejection" },
 	{ .name = "outage",
 	  .submissions = 0.25,
@@ -127,20 +129,20 @@
 	{ .name = "cold-target",
 	  .submissions = 0.3,
 	  .pulls = 0.3,
-	  .churn = 0.1,
-	  .joins = 1,
+	  .churn_per_s = 0.1,
+	  .target_joins = 1,
 	  .policies = "no-slow-start pick-least" },
 	{ .name = "young-target-fails",
 	  .submissions = 0.3,
 	  .pulls = 0.3,
-	  .churn = 0.1,
-	  .joins = 1,
-	  .young_fails = 1,
+	  .churn_per_s = 0.1,
+	  .target_joins = 1,
+	  .joined_target_fails = 1,
 	  .policies = "no-slow-start pick-least" },
 };
 
-static void print_head(const char *row, const setting_t *setting,
-		       const pattern_t *pattern, const policy_t *policy)
+static void print_row_start(const char *row, const setting_t *setting,
+			    const pattern_t *pattern, const policy_t *policy)
 {
 	printf("%s pattern=%s deployment=%s service=%s policy=%s ", row,
 	       pattern->name, setting->deployment, setting->service,
@@ -156,7 +158,7 @@
 
 	if (!result->issued)
 		return;
-	print_head("calls", setting, pattern, policy);
+	print_row_start("calls", setting, pattern, policy);
 	printf("class=%s offered_per_s=%.0f goodput_per_s=%.0f good_pct=%.1f tries=%.2f ",
 	       class_name(klass), (double)result->issued / MEASURED_S,
 	       (double)result->good / MEASURED_S,
@@ -180,7 +182,7 @@
 static void print_flows(const setting_t *setting, const pattern_t *pattern,
 			const policy_t *policy, result_t *result)
 {
-	print_head("flows", setting, pattern, policy);
+	print_row_start("flows", setting, pattern, policy);
 	printf("broken_flows=%" G_GUINT64_FORMAT " opens=%" G_GUINT64_FORMAT
 	       " opens_failed=%" G_GUINT64_FORMAT
 	       " opens_deferred=%" G_GUINT64_FORMAT " ",
@@ -196,7 +198,7 @@
 	       samples_mean(&result->work_variation),
 	       samples_mean(&result->flow_max),
 	       samples_mean(&result->flow_variation));
-	if (pattern->joins)
+	if (pattern->target_joins)
 		printf(" joined_share=%.2f", result->joined_share);
 	putchar('\n');
 }
@@ -216,8 +218,8 @@
 	result_clear(&result);
 }
 
-/* Whether `name` is one of the words of `list`; NULL lists hold all. */
-static int has_word(const char *list, const char *name)
+/* Returns whether name is a word of list; a NULL list contains all names. */
+static int list_contains(const char *list, const char *name)
 {
 	gchar **words;
 	int found;
@@ -230,14 +232,14 @@
 	return found;
 }
 
-static int is_wanted(const pattern_t *pattern, const policy_t *policy,
-		     const char *wanted)
+static int is_selected(const pattern_t *pattern, const policy_t *policy,
+		       const char *selected)
 {
-	if (wanted)
-		return has_word(wanted, policy->name);
+	if (selected)
+		return list_contains(selected, policy->name);
 	if (!strcmp(policy->name, "baseline") || !strcmp(policy->name, "full"))
 		return 1;
-	return has_word(pattern->policies, policy->name);
+	return list_contains(pattern->policies, policy->name);
 }
 
 static void measure_pattern(const pattern_t *pattern, const char *deployment,
@@ -247,11 +249,11 @@
 	size_t s, p;
 
 	for (s = 0; s < G_N_ELEMENTS(settings); s++) {
-		if (!has_word(deployment, settings[s].deployment) ||
-		    !has_word(service, settings[s].service))
+		if (!list_contains(deployment, settings[s].deployment) ||
+		    !list_contains(service, settings[s].service))
 			continue;
 		for (p = 0; p < G_N_ELEMENTS(policies); p++)
-			if (is_wanted(pattern, &policies[p], policy))
+			if (is_selected(pattern, &policies[p], policy))
 				measure(&settings[s], pattern, &policies[p],
 					seed);
 	}
@@ -271,10 +273,10 @@
 		  "readings, maps, proofing or print (default: all)", "NAMES" },
 		{ "policy", 0, 0, G_OPTION_ARG_STRING, &policy,
 		  "Only these policies (default: baseline, full, and full "
-		  "without what the pattern is for)",
+		  "without the mechanism that the pattern tests)",
 		  "NAMES" },
 		{ "seed", 0, 0, G_OPTION_ARG_INT, &seed,
-		  "Seed of all that is random (default: 1)", "N" },
+		  "Seed of the random generator (default: 1)", "N" },
 		{ NULL, 0, 0, 0, NULL, NULL, NULL }
 	};
 	GOptionContext *options = g_option_context_new(NULL);
@@ -287,7 +289,7 @@
 		return EXIT_FAILURE;
 	}
 	for (i = 0; i < G_N_ELEMENTS(patterns); i++)
-		if (has_word(pattern, patterns[i].name))
+		if (list_contains(pattern, patterns[i].name))
 			measure_pattern(&patterns[i], deployment, service,
 					policy, (uint32_t)seed);
 	g_option_context_free(options);
