--- a/fuzz/fuzz_agent.c
+++ b/fuzz/fuzz_agent.c
@@ -1,14 +1,15 @@
 /*
- * Agents of one service against an oracle: each run of bytes is a run of
- * operations over three cores, their targets, their callers, the network
- * between them and control. The oracle stands in tests/fake_agents.c: at most
- * one run of each call, no run of one that was refused as not run, no refusal
- * as not run of one that ran, whole answers of one's own calls only. Inside
- * the cores their own invariants are asserted.
+ * Runs the input as operations on three agents of one service, their targets,
+ * callers, the network between them and control. The oracle is in
+ * tests/fake_agents.c: each call runs at most once, no call runs that was
+ * refused as not run, none that ran is refused as not run, and a caller
+ * receives only complete answers to its own calls. The agents also assert
+ * their own invariants.
  *
- * The first byte chooses: planned changes alone (drains, stops, restarts of
- * agents that have left, messages doubled and out of order), after which
- * every submission must have run once and been answered; or anything at all.
+ * The first byte selects the operations: either planned changes only (drains,
+ * stops, restarts of agents that have left, duplicated and reordered
+ * messages), after which every submission must have run once and been
+ * answered, or all operations.
  */
 
 #include <stdio.h>
@@ -17,15 +18,18 @@
 #include "damaskyard/log.h"
 #include "fake_agents.h"
 
-/* A caller's copies come within this, in us: below what the cache keeps. */
-#define COPY_US 55000000ULL
+/*
+ * Callers retransmit within this time, in us. It is less than the time for
+ * which the duplicate request cache keeps an answer.
+ */
+#define RETRANSMIT_WINDOW_US 55000000ULL
 
 /*
- * Turns of 50 ms within which planned changes come to their end, and after
- * which a caller sends again.
+ * Steps of 50 ms within which planned changes must complete, and between a
+ * caller's retransmissions.
  */
-#define SETTLE_TURNS 240
-#define SEND_AGAIN_TURNS 16
+#define SETTLE_STEPS 240
+#define RETRANSMIT_STEPS 16
 
 typedef struct run {
 	fake_world_t *world;
@@ -34,7 +38,7 @@
 	int planned;
 } run_t;
 
-static unsigned take(run_t *run)
+static unsigned read_byte(run_t *run)
 {
 	if (!run->len)
 		return 0;
@@ -42,15 +46,15 @@
 	return *run->bytes++;
 }
 
-static unsigned take_below(run_t *run, unsigned limit)
+static unsigned read_below(run_t *run, unsigned limit)
 {
-	return take(run) % limit;
+	return read_byte(run) % limit;
 }
 
-/* Mostly where a balancer would send it; now and then anywhere. */
+/* Mostly the agent that a balancer would select; sometimes any agent. */
 static unsigned choose_agent(run_t *run, const dy_token_t *token)
 {
-	unsigned byte = take(run);
+	unsigned byte = read_byte(run);
 
 	if (!run->planned && byte >= 0xc0)
 		return byte % FAKE_AGENTS;
@@ -59,7 +63,7 @@
 
 static void make_call(run_t *run, uint32_t procedure)
 {
-	unsigned caller = take_below(run, FAKE_CALLERS);
+	unsigned caller = read_below(run, FAKE_CALLERS);
 
 	if (run->world->call_count + FAKE_CALLERS >= FAKE_CALLS)
 		return;
@@ -71,7 +75,7 @@
 		caller, procedure);
 }
 
-static void copy_call(run_t *run, unsigned within)
+static void retransmit_call(run_t *run, unsigned last_calls)
 {
 	fake_world_t *world = run->world;
 	const fake_call_t *call;
@@ -80,9 +84,9 @@
 	if (!world->call_count)
 		return;
 	id = world->call_count - 1 -
-	     take_below(run, MIN(within, world->call_count));
+	     read_below(run, MIN(last_calls, world->call_count));
 	call = &world->calls[id];
-	if (world->now_us - call->sent_us > COPY_US)
+	if (world->now_us - call->sent_us > RETRANSMIT_WINDOW_US)
 		return;
 	world_retransmit_call(world, choose_agent(run, &call->token), id);
 }
@@ -95,7 +99,7 @@
 	if (!world->call_count ||
 	    world->call_count + FAKE_CALLERS >= FAKE_CALLS)
 		return;
-	id = world->call_count - 1 - take_below(run, MIN(8, world->call_count));
+	id = world->call_count - 1 - read_below(run, MIN(8, world->call_count));
 	if (world->callers[world->calls[id].caller].has_token)
 		world_send_cancel(
 			world, choose_agent(run, &world->calls[id].token), id);
@@ -113,8 +117,8 @@
 	return count;
 }
 
-/* Of a planned change, at least one agent goes on serving. */
-static void leave(run_t *run, unsigned index)
+/* During planned changes, at least one agent keeps serving. */
+static void drain_agent(run_t *run, unsigned index)
 {
 	fake_agent_t *agent = &run->world->agents[index];
 
@@ -123,7 +127,7 @@
 	dy_agent_drain(agent->agent, "fuzz", 1);
 }
 
-static void answer_everything(fake_world_t *world)
+static void answer_all_calls(fake_world_t *world)
 {
 	unsigned i;
 
@@ -132,21 +136,21 @@
 			world_answer_all(world, i);
 }
 
-/* Up to where the first messages that hold sessions are under way. */
+/* Runs a handover until the first messages with sessions are in transit. */
 static void begin_handover(run_t *run, unsigned index)
 {
-	leave(run, index);
+	drain_agent(run, index);
 	world_poll_control(run->world, index);
 	world_advance(run->world, 50);
 	while (world_deliver_message(run->world))
 		;
 	world_advance(run->world, 50);
-	/* Else their deadlines, and not the change, would end the calls. */
+	/* Otherwise the calls end by their deadlines, not by the change. */
 	if (run->planned)
-		answer_everything(run->world);
+		answer_all_calls(run->world);
 }
 
-static void restart(run_t *run, unsigned index)
+static void restart_agent(run_t *run, unsigned index)
 {
 	fake_agent_t *agent = &run->world->agents[index];
 
@@ -154,9 +158,9 @@
 		world_start_agent(run->world, index);
 }
 
-static void open_flow(run_t *run, unsigned index)
+static void open_session(run_t *run, unsigned index)
 {
-	unsigned caller = take_below(run, FAKE_CALLERS);
+	unsigned caller = read_below(run, FAKE_CALLERS);
 
 	if (run->planned && run->world->callers[caller].has_token)
 		return;
@@ -164,17 +168,17 @@
 		world_open_session(run->world, index, caller);
 }
 
-static void pass(run_t *run)
+static void advance_time(run_t *run)
 {
-	unsigned byte = take(run);
+	unsigned byte = read_byte(run);
 
 	if (run->planned)
-		answer_everything(run->world);
+		answer_all_calls(run->world);
 	world_advance(run->world,
 		      byte < 250 || run->planned ? 50 * (byte % 8 + 1) : 40000);
 }
 
-/* What may happen to a group in which every change is planned. */
+/* Operations that may occur if every change is planned. */
 static void operate_planned(run_t *run, unsigned op, unsigned index)
 {
 	switch (op) {
@@ -186,14 +190,14 @@
 		make_call(run, FAKE_COUNT);
 		break;
 	case 3:
-		copy_call(run, 16);
+		retransmit_call(run, 16);
 		break;
 	case 4:
-		world_answer(run->world, index, take_below(run, FAKE_SLOTS),
+		world_answer(run->world, index, read_below(run, FAKE_SLOTS),
 			     FAKE_OK);
 		break;
 	case 5:
-		pass(run);
+		advance_time(run);
 		break;
 	case 6:
 		world_poll_control(run->world, index);
@@ -208,13 +212,13 @@
 		world_reorder_message(run->world);
 		break;
 	case 10:
-		open_flow(run, index);
+		open_session(run, index);
 		break;
 	case 11:
-		leave(run, index);
+		drain_agent(run, index);
 		break;
 	case 12:
-		restart(run, index);
+		restart_agent(run, index);
 		break;
 	case 13:
 		begin_handover(run, index);
@@ -236,11 +240,11 @@
 		world_drop_message(world);
 		break;
 	case 1:
-		world_answer(world, index, take_below(run, FAKE_SLOTS),
-			     take_below(run, FAKE_REPLIES));
+		world_answer(world, index, read_below(run, FAKE_SLOTS),
+			     read_below(run, FAKE_REPLIES));
 		break;
 	case 2:
-		world_close_link(world, index, take_below(run, DY_AGENT_LINKS));
+		world_close_link(world, index, read_below(run, DY_AGENT_LINKS));
 		break;
 	case 3:
 		world_restart_target(world, index);
@@ -249,16 +253,16 @@
 		cancel_call(run);
 		break;
 	case 5:
-		world_answer_cancel(world, index, take_below(run, 2));
+		world_answer_cancel(world, index, read_below(run, 2));
 		break;
 	case 6:
 		agent->target_up = !agent->target_up;
 		break;
 	case 7:
-		dy_agent_set_lease(agent->agent, (int)take_below(run, 2));
+		dy_agent_set_lease(agent->agent, (int)read_below(run, 2));
 		break;
 	case 8:
-		copy_call(run, 256);
+		retransmit_call(run, 256);
 		break;
 	case 9:
 		agent->fail_sends = !agent->fail_sends;
@@ -279,8 +283,8 @@
 static void operate(run_t *run)
 {
 	unsigned ops = PLANNED_OPS + (run->planned ? 0 : UNPLANNED_OPS);
-	unsigned op = take_below(run, ops);
-	unsigned index = take_below(run, FAKE_AGENTS);
+	unsigned op = read_below(run, ops);
+	unsigned index = read_below(run, FAKE_AGENTS);
 
 	if (!run->world->agents[index].agent)
 		return;
@@ -290,8 +294,11 @@
 		operate_unplanned(run, op - PLANNED_OPS, index);
 }
 
-/* A caller sends on until it is told something. Returns how many do. */
-static unsigned send_unanswered(fake_world_t *world)
+/*
+ * Retransmits all submissions without an outcome, as callers do until they get
+ * one. Returns their number.
+ */
+static unsigned retransmit_unanswered(fake_world_t *world)
 {
 	const fake_call_t *call;
 	unsigned count = 0;
@@ -322,23 +329,23 @@
 
 static void settle(fake_world_t *world)
 {
-	unsigned turn;
+	unsigned step;
 	unsigned i;
 
-	for (turn = 0; turn < SETTLE_TURNS; turn++) {
+	for (step = 0; step < SETTLE_STEPS; step++) {
 		while (world_deliver_message(world))
 			;
 		for (i = 0; i < FAKE_AGENTS; i++)
 			world_poll_control(world, i);
-		answer_everything(world);
-		if (turn % SEND_AGAIN_TURNS == 0 && !send_unanswered(world) &&
-		    !is_changing(world))
+		answer_all_calls(world);
+		if (step % RETRANSMIT_STEPS == 0 &&
+		    !retransmit_unanswered(world) && !is_changing(world))
 			return;
 		world_advance(world, 50);
 	}
 }
 
-static void check_planned(fake_world_t *world)
+static void check_all_submissions(fake_world_t *world)
 {
 	const fake_call_t *call;
 	uint32_t id;
@@ -349,7 +356,7 @@
 			continue;
 		if (call->runs == 1 && call->answered)
 			continue;
-		/* Refused for want of room, not for the change, is no loss. */
+		/* A refusal by a limit or deadline is allowed. */
 		if (!call->runs && call->reported_not_run && call->retry_ms &&
 		    (call->reason == DY_REASON_OVERLOAD ||
 		     call->reason == DY_REASON_SESSION_LIMIT ||
@@ -374,16 +381,16 @@
 
 	dy_log_configure(DY_LOG_ERROR + 1, NULL);
 	run.world = fake_world_create();
-	run.planned = take(&run) & 1;
+	run.planned = read_byte(&run) & 1;
 	for (i = 0; i < FAKE_AGENTS; i++)
 		world_start_agent(run.world, i);
 	for (i = 0; i < FAKE_CALLERS; i++)
-		world_open_session(run.world, take_below(&run, FAKE_AGENTS), i);
+		world_open_session(run.world, read_below(&run, FAKE_AGENTS), i);
 	while (run.len)
 		operate(&run);
 	if (run.planned) {
 		settle(run.world);
-		check_planned(run.world);
+		check_all_submissions(run.world);
 	}
 	fake_world_destroy(run.world);
 	return 0;
--- a/fuzz/fuzz_document.c
+++ b/fuzz/fuzz_document.c
@@ -1,5 +1,6 @@
 /*
- * Documents of any bytes: whatever is accepted must hold its own rules.
+ * Parses any bytes as a document. An accepted document must satisfy the rules
+ * of documents, and a rejected one must come with an error.
  */
 
 #include <stdlib.h>
--- a/fuzz/fuzz_platform.c
+++ b/fuzz/fuzz_platform.c
@@ -1,6 +1,6 @@
 /*
- * Every door of the platform takes bytes from strangers: a packet, a
- * configuration, a heartbeat, a packed document. The first byte chooses.
+ * Passes untrusted input to the platform's parsers: a packet, a configuration,
+ * a heartbeat or a packed document. The first byte selects the parser.
  */
 
 #include <stddef.h>
@@ -14,10 +14,10 @@
 #include "platform/heartbeat.h"
 #include "platform/packet.h"
 
-/* Unpacked bytes at most: more would only be slow. */
-#define UNPACKED_MAX 65536
+/* Limit for unpacked documents; larger ones only slow the fuzzer down. */
+#define UNPACKED_MAX_BYTES 65536
 
-static void take_packet(const uint8_t *data, size_t size)
+static void parse_packet(const uint8_t *data, size_t size)
 {
 	uint8_t bytes[2048];
 	dy_packet_t packet;
@@ -32,7 +32,7 @@
 		abort();
 }
 
-static void take_configuration(const uint8_t *data, size_t size)
+static void parse_configuration(const uint8_t *data, size_t size)
 {
 	GError *error = NULL;
 	dy_flow_rules_t *rules;
@@ -44,7 +44,7 @@
 	g_clear_error(&error);
 }
 
-static void take_heartbeat(const uint8_t *data, size_t size)
+static void parse_heartbeat(const uint8_t *data, size_t size)
 {
 	dy_target_notice_t notice;
 	GError *error = NULL;
@@ -55,9 +55,9 @@
 	g_clear_error(&error);
 }
 
-static void take_document(const uint8_t *data, size_t size)
+static void unpack_document(const uint8_t *data, size_t size)
 {
-	GByteArray *plain = dy_document_unpack(data, size, UNPACKED_MAX);
+	GByteArray *plain = dy_document_unpack(data, size, UNPACKED_MAX_BYTES);
 
 	if (plain)
 		g_byte_array_unref(plain);
@@ -69,16 +69,16 @@
 		return 0;
 	switch (data[0] % 4) {
 	case 0:
-		take_packet(data + 1, size - 1);
+		parse_packet(data + 1, size - 1);
 		break;
 	case 1:
-		take_configuration(data + 1, size - 1);
+		parse_configuration(data + 1, size - 1);
 		break;
 	case 2:
-		take_heartbeat(data + 1, size - 1);
+		parse_heartbeat(data + 1, size - 1);
 		break;
 	default:
-		take_document(data + 1, size - 1);
+		unpack_document(data + 1, size - 1);
 	}
 	return 0;
 }
--- a/fuzz/fuzz_raft.c
+++ b/fuzz/fuzz_raft.c
@@ -1,7 +1,7 @@
 /*
- * A run of operations on a group of three members over disks and datagrams
- * in memory. The oracle is the fake group's; at the end all heals, and what
- * was acknowledged must be on every member.
+ * Runs operations on a group of three members with disks and datagrams in
+ * memory. tests/fake_group.h has the oracle. At the end all faults are
+ * repaired, and every member must have all acknowledged entries.
  */
 
 #include <stdint.h>
@@ -18,7 +18,7 @@
 	size_t left;
 } run_t;
 
-static uint32_t take(run_t *run, uint32_t limit)
+static uint32_t read_below(run_t *run, uint32_t limit)
 {
 	uint32_t value;
 
@@ -37,8 +37,8 @@
 	group->transfers++;
 }
 
-/* A disk may be lost when every slot is a voter again, and all run. */
-static void lose_disk(run_t *run, fake_member_t *member)
+/* A disk may be lost only while all members run and all slots are voters. */
+static void wipe_disk(run_t *run, fake_member_t *member)
 {
 	uint32_t i;
 
@@ -52,30 +52,30 @@
 	fake_group_start(member);
 }
 
-static void fault_disk(run_t *run, fake_member_t *member)
+static void inject_disk_fault(run_t *run, fake_member_t *member)
 {
-	uint32_t after = take(run, 40);
+	uint32_t countdown = read_below(run, 40);
 
-	if (after % 3 == 0)
-		member->disk->writes_left = after;
-	else if (after % 3 == 1)
-		member->disk->syncs_left = after;
+	if (countdown % 3 == 0)
+		member->disk->writes_left = countdown;
+	else if (countdown % 3 == 1)
+		member->disk->syncs_left = countdown;
 	else
-		member->disk->operations_left = after;
-	member->disk->short_write = (int)take(run, 2);
+		member->disk->operations_left = countdown;
+	member->disk->short_write = (int)read_below(run, 2);
 }
 
 static void crash_or_start(run_t *run, fake_member_t *member)
 {
 	if (member->raft && !dy_raft_failed(member->raft)) {
-		fake_group_crash(member, (int)take(run, 2));
+		fake_group_crash(member, (int)read_below(run, 2));
 		return;
 	}
-	fake_group_crash(member, (int)take(run, 2));
+	fake_group_crash(member, (int)read_below(run, 2));
 	fake_group_start(member);
 }
 
-static void call_member(run_t *run, fake_member_t *member, uint32_t count)
+static void read_and_propose(run_t *run, fake_member_t *member, uint32_t count)
 {
 	if (!member->raft || member->paused)
 		return;
@@ -87,16 +87,16 @@
 static void operate(run_t *run)
 {
 	fake_group_t *group = run->group;
-	fake_member_t *member = &group->members[take(run, MEMBERS)];
+	fake_member_t *member = &group->members[read_below(run, MEMBERS)];
 
-	switch (take(run, 11)) {
+	switch (read_below(run, 11)) {
 	case 0:
 	case 1:
 	case 2:
-		call_member(run, member, take(run, 8));
+		read_and_propose(run, member, read_below(run, 8));
 		break;
 	case 3:
-		fake_group_run(group, take(run, 200) * 5);
+		fake_group_run(group, read_below(run, 200) * 5);
 		break;
 	case 4:
 		crash_or_start(run, member);
@@ -108,15 +108,15 @@
 		member->partition = !member->partition;
 		break;
 	case 7:
-		fault_disk(run, member);
+		inject_disk_fault(run, member);
 		break;
 	case 8:
-		lose_disk(run, member);
+		wipe_disk(run, member);
 		break;
 	case 9:
-		group->loss_percent = (int)take(run, 50);
-		group->duplication_percent = (int)take(run, 50);
-		group->max_delay_ms = take(run, 100) + 1;
+		group->loss_percent = (int)read_below(run, 50);
+		group->duplication_percent = (int)read_below(run, 50);
+		group->max_delay_ms = read_below(run, 100) + 1;
 		break;
 	default:
 		if (member->raft && !member->paused)
@@ -126,7 +126,7 @@
 	}
 }
 
-/* The name is libFuzzer's. NOLINTNEXTLINE(readability-identifier-naming) */
+/* libFuzzer requires the name. NOLINTNEXTLINE(readability-identifier-naming) */
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t size);
 
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t size)
@@ -140,7 +140,7 @@
 	for (operations = 0; run.left && operations < OPERATIONS_MAX;
 	     operations++) {
 		operate(&run);
-		fake_group_step(run.group, take(&run, 40) + 1);
+		fake_group_step(run.group, read_below(&run, 40) + 1);
 		if (operations % 3 == 0)
 			(void)fake_group_reconcile(run.group);
 	}
--- a/fuzz/fuzz_registry.c
+++ b/fuzz/fuzz_registry.c
@@ -1,6 +1,6 @@
 /*
- * The registry against its oracle (tests/fake_registry_run.h), four bytes a
- * step; snapshots are written and loaded at random points.
+ * Compares the registry with its oracle (tests/fake_registry_run.h). Each step
+ * uses four bytes; snapshots are written and loaded at random points.
  */
 
 #include <stddef.h>
@@ -8,7 +8,7 @@
 
 #include "fake_registry_run.h"
 
-/* libFuzzer's own name. NOLINTNEXTLINE(readability-identifier-naming) */
+/* libFuzzer requires the name. NOLINTNEXTLINE(readability-identifier-naming) */
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t size)
 {
 	fake_run_t *run = fake_run_create();
--- a/fuzz/fuzz_router.c
+++ b/fuzz/fuzz_router.c
@@ -1,12 +1,12 @@
 /*
- * A run of changes of members and calls through one balancer's router,
- * against an oracle that knows each incarnation's service, state and
- * successors. What must hold for each datagram:
+ * Runs member changes and calls through one balancer's router and compares it
+ * with an oracle that has each incarnation's service, state and successors.
+ * For each datagram:
  * - it is forwarded once, answered once, or dropped;
- * - it goes to a target of its own service only;
- * - a non-idempotent call goes to the owner of its session only, and is never
- *   refused as not run when it carries a token;
- * - a new flow goes to no target that drains, has left or is dead.
+ * - it goes only to a target of its own service;
+ * - a non-idempotent call goes only to the owner of its session, and is never
+ *   refused as not run if it carries a token;
+ * - a new flow never goes to a target that drains, has left or is dead.
  */
 
 #include <stdlib.h>
@@ -20,7 +20,7 @@
 
 #define AGENTS 6
 #define MEMBERS_MAX 64
-#define NONE 0
+#define NO_OWNER 0
 #define CHECK(what)              \
 	do {                     \
 		if (!(what))     \
@@ -55,14 +55,14 @@
 	uint32_t xid;
 	unsigned forwards;
 	uint64_t forwarded_to;
-	dy_forward_t last;
-	uint8_t bytes[DY_DATAGRAM_BYTES];
+	dy_forward_t last_forward;
+	uint8_t last_datagram[DY_DATAGRAM_BYTES];
 	unsigned answers;
 	int refused;
 	dy_refusal_t refusal;
 } run_t;
 
-static unsigned take(run_t *run, unsigned limit)
+static unsigned read_below(run_t *run, unsigned limit)
 {
 	if (!run->left)
 		return 0;
@@ -78,10 +78,10 @@
 	(void)to;
 	run->forwards++;
 	run->forwarded_to = forward->incarnation;
-	run->last = *forward;
-	memcpy(run->bytes, forward->datagram.datagram_val,
+	run->last_forward = *forward;
+	memcpy(run->last_datagram, forward->datagram.datagram_val,
 	       forward->datagram.datagram_len);
-	run->last.datagram.datagram_val = (char *)run->bytes;
+	run->last_forward.datagram.datagram_val = (char *)run->last_datagram;
 }
 
 static void on_answer(void *context, uint64_t socket,
@@ -124,50 +124,50 @@
 	return found;
 }
 
-static void tell(run_t *run, const member_t *from)
+static void update_member(run_t *run, const member_t *source)
 {
-	dy_member_t member = { .id = from->id,
-			       .incarnation = from->incarnation,
-			       .state = from->state };
+	dy_member_t member = { .id = source->id,
+			       .incarnation = source->incarnation,
+			       .state = source->state };
 
 	member.info.kind = DY_MEMBER_AGENT;
 	member.info.name = "x";
 	member.info.environment = "production";
 	member.info.domain = "d1";
 	member.info.labels = "";
-	member.info.service = (char *)service_name(from->service);
+	member.info.service = (char *)service_name(source->service);
 	member.info.slots = 4;
 	member.info.connections = 2000;
-	member.successors.successors_len = from->successor_count;
-	member.successors.successors_val = (uint64_t *)from->successors;
+	member.successors.successors_len = source->successor_count;
+	member.successors.successors_val = (uint64_t *)source->successors;
 	dy_router_set_member(run->router, &member, run->now_ms);
 }
 
-/* An id always serves one service, as an agent's name does in practice. */
-static void join(run_t *run)
+/* An id always serves the same service, as an agent's name does in practice. */
+static void join_agent(run_t *run)
 {
-	unsigned agent = take(run, AGENTS);
-	member_t *before = find_current(run, agent + 1);
+	unsigned agent = read_below(run, AGENTS);
+	member_t *previous = find_current(run, agent + 1);
 	member_t *member;
 
 	if (run->count == MEMBERS_MAX)
 		return;
-	if (before && before->state != DY_MEMBER_LEFT) {
-		before->state = DY_MEMBER_DEAD;
-		tell(run, before);
+	if (previous && previous->state != DY_MEMBER_LEFT) {
+		previous->state = DY_MEMBER_DEAD;
+		update_member(run, previous);
 	}
 	member = &run->members[run->count++];
 	member->id = agent + 1;
 	member->incarnation = 100 + run->count;
 	member->service = (int)(agent % 2);
 	member->state = DY_MEMBER_SERVING;
-	tell(run, member);
+	update_member(run, member);
 }
 
-/* Any start of an agent of the same service, or one not heard of yet. */
-static uint64_t draw_successor(run_t *run, const member_t *member)
+/* Returns an incarnation of the same service, or one that is not known yet. */
+static uint64_t read_successor(run_t *run, const member_t *member)
 {
-	unsigned i = take(run, run->count + 1);
+	unsigned i = read_below(run, run->count + 1);
 
 	for (; i < run->count; i++)
 		if (run->members[i].service == member->service)
@@ -175,27 +175,27 @@
 	return 101 + MEMBERS_MAX;
 }
 
-static void change(run_t *run)
+static void change_member(run_t *run)
 {
 	member_t *member;
 	unsigned i;
 
 	if (!run->count)
 		return;
-	member = &run->members[take(run, run->count)];
+	member = &run->members[read_below(run, run->count)];
 	if (member->state >= DY_MEMBER_LEFT &&
 	    member->state != DY_MEMBER_SUSPECT)
 		return;
-	member->state = DY_MEMBER_SERVING + take(run, 5);
+	member->state = DY_MEMBER_SERVING + read_below(run, 5);
 	member->successor_count = 0;
 	if (member->state == DY_MEMBER_LEFT)
-		member->successor_count = take(run, 3);
+		member->successor_count = read_below(run, 3);
 	for (i = 0; i < member->successor_count; i++)
-		member->successors[i] = draw_successor(run, member);
-	tell(run, member);
+		member->successors[i] = read_successor(run, member);
+	update_member(run, member);
 }
 
-/* The incarnation that may run a call of that token, or NONE. */
+/* Returns the incarnation that may run a call with that token, or NO_OWNER. */
 static uint64_t find_owner(run_t *run, uint64_t incarnation, uint64_t session)
 {
 	member_t *member = find_incarnation(run, incarnation);
@@ -204,14 +204,14 @@
 
 	for (i = 0; member && i < 8; i++) {
 		if (member->state == DY_MEMBER_DEAD)
-			return NONE;
+			return NO_OWNER;
 		if (member->state != DY_MEMBER_LEFT)
 			return member->incarnation;
 		next = dy_successor_pick(session, member->successors,
 					 member->successor_count);
 		member = next ? find_incarnation(run, next) : NULL;
 	}
-	return NONE;
+	return NO_OWNER;
 }
 
 static void check_new_flow(run_t *run, int service)
@@ -225,7 +225,7 @@
 	CHECK(member->state == DY_MEMBER_SERVING);
 }
 
-static void check_owned(run_t *run, const dy_token_t *token)
+static void check_session_call(run_t *run, const dy_token_t *token)
 {
 	uint64_t owner;
 
@@ -241,21 +241,21 @@
 	CHECK(run->forwarded_to == owner);
 }
 
-static void call(run_t *run)
+static void send_call(run_t *run)
 {
 	uint8_t bytes[512];
 	uint8_t signed_token[DY_TOKEN_BYTES];
 	dy_router_datagram_t datagram = { 0 };
 	dy_rpc_call_t message = { .program = 7, .program_version = 1 };
 	dy_token_t token = { 0 };
-	int service = (int)take(run, 2);
-	int has_token = (int)take(run, 2);
+	int service = (int)read_below(run, 2);
+	int has_token = (int)read_below(run, 2);
 
-	message.procedure = take(run, 3);
+	message.procedure = read_below(run, 3);
 	message.xid = ++run->xid;
-	token.agent = 1 + take(run, AGENTS);
-	token.incarnation = 101 + take(run, MEMBERS_MAX);
-	token.session = take(run, 8);
+	token.agent = 1 + read_below(run, AGENTS);
+	token.incarnation = 101 + read_below(run, MEMBERS_MAX);
+	token.session = read_below(run, 8);
 	token.service = dy_service_id(service_name((int)(token.agent - 1) % 2));
 	if (find_incarnation(run, token.incarnation))
 		token.agent = find_incarnation(run, token.incarnation)->id;
@@ -276,7 +276,7 @@
 	if (has_token && token.service != datagram.service)
 		CHECK(run->forwards + run->answers == 0);
 	else if (has_token && message.procedure == 1)
-		check_owned(run, &token);
+		check_session_call(run, &token);
 	else if (message.procedure == 1)
 		CHECK(!run->forwards && run->answers == 1 && !run->refused);
 	else if (!has_token)
@@ -285,8 +285,8 @@
 		CHECK(run->forwards + run->answers == 1);
 }
 
-/* The agent that got the last datagram answers, or gives it back. */
-static void reply(run_t *run)
+/* The agent that received the last forward answers or bounces it. */
+static void answer_last_forward(run_t *run)
 {
 	dy_bounce_t bounce = { 0 };
 	dy_answer_t answer = { 0 };
@@ -297,18 +297,18 @@
 		return;
 	run->forwards = 0;
 	run->answers = 0;
-	if (take(run, 2)) {
-		bounce.forward = run->last;
-		bounce.load.draining = (bool_t)take(run, 2);
+	if (read_below(run, 2)) {
+		bounce.forward = run->last_forward;
+		bounce.load.draining = (bool_t)read_below(run, 2);
 		dy_router_receive_bounce(run->router, &bounce, run->now_ms);
 		CHECK(run->forwards + run->answers == 1);
 		return;
 	}
-	answer.service = run->last.service;
-	answer.incarnation = run->last.incarnation;
-	answer.load.slots = take(run, 9);
-	answer.load.in_flight = take(run, 9);
-	answer.load.sessions = take(run, 9) * 400;
+	answer.service = run->last_forward.service;
+	answer.incarnation = run->last_forward.incarnation;
+	answer.load.slots = read_below(run, 9);
+	answer.load.in_flight = read_below(run, 9);
+	answer.load.sessions = read_below(run, 9) * 400;
 	answer.datagram.datagram_val = (char *)out;
 	answer.datagram.datagram_len = (u_int)dy_rpc_write_refusal(
 		run->xid, &refusal, out, sizeof(out));
@@ -318,22 +318,22 @@
 
 static void operate(run_t *run)
 {
-	switch (take(run, 6)) {
+	switch (read_below(run, 6)) {
 	case 0:
-		join(run);
+		join_agent(run);
 		break;
 	case 1:
-		change(run);
+		change_member(run);
 		break;
 	case 2:
-		reply(run);
+		answer_last_forward(run);
 		break;
 	case 3:
-		run->now_ms += take(run, 255) * 20;
+		run->now_ms += read_below(run, 255) * 20;
 		dy_router_expire(run->router, run->now_ms);
 		break;
 	default:
-		call(run);
+		send_call(run);
 		break;
 	}
 }
--- a/fuzz/fuzz_wire.c
+++ b/fuzz/fuzz_wire.c
@@ -1,6 +1,6 @@
 /*
- * Datagrams of any bytes through every parser that stands open to the
- * network: RPC heads, tokens and sealed messages with their bodies.
+ * Passes any bytes to every parser that receives network input: RPC headers,
+ * tokens, and sealed messages with their bodies.
  */
 
 #include <stdlib.h>
@@ -61,7 +61,7 @@
 	size_t size;
 } body_t;
 
-/* What a holder of the key could send: bodies that lie about lengths. */
+/* Bodies with wrong lengths, as a sender that has the key could send. */
 static void load_bodies(const uint8_t *bytes, size_t size)
 {
 	static const body_t bodies[] = {
