--- a/include/damaskyard/flow_holder.h
+++ b/include/damaskyard/flow_holder.h
@@ -253,7 +253,7 @@
 
 /* Returns the state of the instance with this id and start time. */
 dy_target_instance_state_t dy_flow_holder_instance_state(
-	const dy_flow_holder_t *holder, const char *id, uint64_t born_ms);
+	const dy_flow_holder_t *holder, const char *id, uint64_t started_ms);
 
 /*
  * Returns the target's last notice, or NULL if no target is known to be there.
--- a/include/damaskyard/target_notice.h
+++ b/include/damaskyard/target_notice.h
@@ -19,10 +19,10 @@
 	char id[DY_TARGET_ID_BYTES]; /* usually new for each instance */
 	char service[DY_NAME_BYTES + 1];
 	dy_address_t address;
-	uint32_t slots;	   /* capacity in concurrent requests */
-	uint32_t cold_ms;  /* remaining time of slowness after its start */
-	uint64_t sequence; /* increases with each notice of one instance */
-	uint64_t born_ms;  /* time of day of its start, in ms; 0: not given */
+	uint32_t slots;	     /* capacity in concurrent requests */
+	uint32_t cold_ms;    /* remaining time of slowness after its start */
+	uint64_t sequence;   /* increases with each notice of one instance */
+	uint64_t started_ms; /* time of day of its start, in ms; 0: not given */
 	dy_target_state_t state;
 } dy_target_notice_t;
 
--- a/soak/soak.h
+++ b/soak/soak.h
@@ -116,7 +116,7 @@
 void processes_destroy(void);
 /*
  * Kill with SIGKILL and start again after restart_delay_ms. disk_fault applies
- * to controls: 1 erases the data, 2 flips a bit in the newest log file, 0
+ * to controls: 1 erases the data, 2 flips a bit in a log file, 0
  * leaves the disk as it is. Does nothing if the process does not run.
  */
 void process_kill(process_t *process, int disk_fault,
--- a/src/connection/flow_holder_notice.c
+++ b/src/connection/flow_holder_notice.c
@@ -64,8 +64,9 @@
 
 	dy_log_event(DY_LOG_INFO, "target_started",
 		     "id=%s born_ms=%lu slots=%u flows_dropped=%u flows=%u",
-		     dy_log_quote(notice->id), (unsigned long)notice->born_ms,
-		     notice->slots, dropped, dy_flow_holder_count(holder));
+		     dy_log_quote(notice->id),
+		     (unsigned long)notice->started_ms, notice->slots, dropped,
+		     dy_flow_holder_count(holder));
 	if (holder->has_target || notice->sequence <= FIRST_SEQUENCE)
 		holder->saw_start = 1;
 	if (!holder->saw_start)
@@ -96,9 +97,9 @@
 
 	if (!holder->has_target)
 		return NOTICE_NEW_INSTANCE;
-	if (notice->born_ms > current->born_ms)
+	if (notice->started_ms > current->started_ms)
 		return NOTICE_NEW_INSTANCE;
-	if (notice->born_ms < current->born_ms ||
+	if (notice->started_ms < current->started_ms ||
 	    strcmp(notice->id, current->id) != 0)
 		return now_ms - holder->last_notice_ms > INSTANCE_TIMEOUT_MS
 			       ? NOTICE_NEW_INSTANCE
--- a/src/connection/flow_holder_presence.c
+++ b/src/connection/flow_holder_presence.c
@@ -72,7 +72,7 @@
 }
 
 dy_target_instance_state_t dy_flow_holder_instance_state(
-	const dy_flow_holder_t *holder, const char *id, uint64_t born_ms)
+	const dy_flow_holder_t *holder, const char *id, uint64_t started_ms)
 {
 	const dy_target_notice_t *notice = &holder->notice;
 
@@ -80,7 +80,7 @@
 		return DY_TARGET_INSTANCE_ENDED;
 	if (!holder->has_target)
 		return DY_TARGET_INSTANCE_UNKNOWN;
-	return born_ms == notice->born_ms && !strcmp(id, notice->id)
+	return started_ms == notice->started_ms && !strcmp(id, notice->id)
 		       ? DY_TARGET_INSTANCE_CURRENT
 		       : DY_TARGET_INSTANCE_ENDED;
 }
--- a/src/connection/flow_ledger.c
+++ b/src/connection/flow_ledger.c
@@ -10,7 +10,7 @@
 /* A list, complete or with parts missing. */
 typedef struct list {
 	char *target;
-	uint64_t born_ms;
+	uint64_t started_ms;
 	uint64_t made_ms;
 	uint32_t good_ms;
 	uint32_t number;
@@ -98,7 +98,7 @@
 	list_t *list = g_new0(list_t, 1);
 
 	list->target = g_strdup(part->target);
-	list->born_ms = part->born_ms;
+	list->started_ms = part->born_ms;
 	list->made_ms = part->made_ms;
 	list->good_ms = part->good_ms;
 	list->number = part->list;
@@ -174,7 +174,7 @@
 		return 0;
 	part.agent = lists->agent;
 	part.target = list->target;
-	part.born_ms = list->born_ms;
+	part.born_ms = list->started_ms;
 	part.made_ms = list->made_ms;
 	part.good_ms = list->good_ms;
 	part.list = list->number;
--- a/src/process/flow/agent_ledger.c
+++ b/src/process/flow/agent_ledger.c
@@ -124,7 +124,7 @@
 				     flows);
 	part.agent = ledger->member->settings.name;
 	part.target = (char *)target->id;
-	part.born_ms = target->born_ms;
+	part.born_ms = target->started_ms;
 	part.list = ++ledger->list_number;
 	part.parts = CLAMP((flows->len + DY_LEDGER_FLOWS - 1) / DY_LEDGER_FLOWS,
 			   1, DY_LEDGER_PARTS_MAX);
--- a/tests/fake_holder.c
+++ b/tests/fake_holder.c
@@ -98,7 +98,7 @@
 	notice.slots = FAKE_HOLDER_SLOTS;
 	notice.cold_ms = fake_holder.cold_ms;
 	notice.sequence = sequence;
-	notice.born_ms = 5000;
+	notice.started_ms = 5000;
 	notice.state = state;
 	return notice;
 }
--- a/tests/test_flow_holder.c
+++ b/tests/test_flow_holder.c
@@ -79,7 +79,7 @@
 	fake_holder.now_ms += 1200;
 	ck_assert(fake_holder_announce(2, DY_TARGET_READY));
 	g_strlcpy(next.id, "t2", sizeof(next.id));
-	next.born_ms = 9000;
+	next.started_ms = 9000;
 	dy_flow_holder_receive_notice(fake_holder.holder, &next,
 				      fake_holder.now_ms);
 	ck_assert_uint_eq(dy_flow_holder_count(fake_holder.holder), 0);
@@ -314,7 +314,7 @@
 	fake_holder_open_flow(2);
 	fake_holder.now_ms += 20;
 	g_strlcpy(notice.id, "t2", sizeof(notice.id));
-	notice.born_ms += 1490;
+	notice.started_ms += 1490;
 	ck_assert(dy_flow_holder_receive_notice(fake_holder.holder, &notice,
 						fake_holder.now_ms));
 	fake_holder.sent_to_target = 0;
@@ -342,7 +342,7 @@
 	fake_holder_open_flow(1);
 	fake_holder.now_ms += 20;
 	g_strlcpy(notice.id, "t2", sizeof(notice.id));
-	notice.born_ms += 10;
+	notice.started_ms += 10;
 	ck_assert(dy_flow_holder_receive_notice(fake_holder.holder, &notice,
 						fake_holder.now_ms));
 	fake_holder_from_caller(1, DY_PACKET_ACK, 501, 90);
--- a/tests/test_flow_presence.c
+++ b/tests/test_flow_presence.c
@@ -51,7 +51,7 @@
 
 	fake_holder_begin();
 	g_strlcpy(later.id, "t2", sizeof(later.id));
-	later.born_ms = 6000;
+	later.started_ms = 6000;
 	ck_assert(dy_flow_holder_receive_notice(fake_holder.holder, &later,
 						fake_holder.now_ms));
 	ck_assert(dy_flow_holder_receive_notice(fake_holder.holder, &held_up,
@@ -72,7 +72,7 @@
 	fake_holder_begin();
 	fake_holder_announce(2, DY_TARGET_DRAINING);
 	g_strlcpy(later.id, "t2", sizeof(later.id));
-	later.born_ms = 4000;
+	later.started_ms = 4000;
 	dy_flow_holder_receive_notice(fake_holder.holder, &later,
 				      fake_holder.now_ms);
 	ck_assert(!dy_flow_holder_accepts(fake_holder.holder));
--- a/tests/test_platform.c
+++ b/tests/test_platform.c
@@ -349,7 +349,7 @@
 	ck_assert_uint_eq(notice.slots, 4);
 	ck_assert_uint_eq(notice.cold_ms, 30);
 	ck_assert_uint_eq(notice.sequence, 2);
-	ck_assert_uint_eq(notice.born_ms, 99);
+	ck_assert_uint_eq(notice.started_ms, 99);
 	ck_assert_int_eq(notice.state, DY_TARGET_READY);
 }
 END_TEST
--- a/tests/test_stale_flows.c
+++ b/tests/test_stale_flows.c
@@ -22,12 +22,12 @@
 	fake_holder_end();
 }
 
-static void announce(const char *id, uint64_t born_ms)
+static void announce(const char *id, uint64_t started_ms)
 {
 	dy_target_notice_t notice = fake_holder_notice(1, DY_TARGET_READY);
 
 	g_strlcpy(notice.id, id, sizeof(notice.id));
-	notice.born_ms = born_ms;
+	notice.started_ms = started_ms;
 	ck_assert(
 		dy_flow_holder_receive_notice(fake_holder.holder, &notice, 1));
 }
