--- a/include/damaskyard/document_patch.h
+++ b/include/damaskyard/document_patch.h
@@ -32,13 +32,13 @@
 			       uint32_t newer_len);
 
 /*
- * Apply a patch to base; run holds the patch->size replacement bytes. Returns
- * *len bytes to be freed with g_free(), or NULL if the patch does not fit the
- * base or the result exceeds DY_DOCUMENT_BYTES, as a patch of a faulty or
- * malicious control may. The caller must check the digest of the result.
+ * Apply a patch to base; changed holds the patch->size replacement bytes.
+ * Returns *len bytes to be freed with g_free(), or NULL if the patch does not
+ * fit the base or the result exceeds DY_DOCUMENT_BYTES, as a patch of a faulty
+ * or malicious control may. The caller must check the digest of the result.
  */
 uint8_t *dy_document_patch_apply(const dy_document_patch_t *patch,
 				 const uint8_t *base, uint32_t base_len,
-				 const uint8_t *run, uint32_t *len);
+				 const uint8_t *changed, uint32_t *len);
 
 #endif
--- a/src/version/document_patch.c
+++ b/src/version/document_patch.c
@@ -26,7 +26,7 @@
 
 uint8_t *dy_document_patch_apply(const dy_document_patch_t *patch,
 				 const uint8_t *base, uint32_t base_len,
-				 const uint8_t *run, uint32_t *len)
+				 const uint8_t *changed, uint32_t *len)
 {
 	uint64_t total = (uint64_t)patch->prefix + patch->size + patch->suffix;
 	uint8_t *bytes;
@@ -38,7 +38,7 @@
 	if (patch->prefix)
 		memcpy(bytes, base, patch->prefix);
 	if (patch->size)
-		memcpy(bytes + patch->prefix, run, patch->size);
+		memcpy(bytes + patch->prefix, changed, patch->size);
 	if (patch->suffix)
 		memcpy(bytes + patch->prefix + patch->size,
 		       base + base_len - patch->suffix, patch->suffix);
--- a/tests/fake_agents.h
+++ b/tests/fake_agents.h
@@ -63,8 +63,7 @@
 	int target_up;	       /* its target runs and accepts connections */
 	int has_left;
 	int fail_sends;
-	int target_frozen; /* its target accepts connections but does not answer
-			    */
+	int target_frozen; /* accepts connections but does not answer */
 	fake_link_t links[DY_AGENT_LINKS];
 	char name[8];
 } fake_agent_t;
